--- a/crates/gatekeeper/src/body.rs
+++ b/crates/gatekeeper/src/body.rs
@@ -1,7 +1,7 @@
-//! Bodies that pass through: a client's to a server and an answer's back, a buffer at a time.
+//! Request and response bodies: buffered if short, else streamed between client and server.
 
 use crate::telemetry::{End, Telemetry};
-use crate::times::{FLOW_STALL, UPLOAD_STALL};
+use crate::times::{FLOW_STALL, UPLOAD_STALL_TIMEOUT};
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -13,117 +13,122 @@
 use thiserror::Error;
 use tokio::time::{sleep, timeout_at, Duration, Instant, Sleep};
 
-/// The longest body of a request, in bytes: longer than anything that is sent in a client's time.
+/// The longest request body, in bytes: more than a client can send within its timeout.
 pub const BODY_MAX: u64 = 1 << 30;
-/// What is read of a body at most before anything is decided or passed on, and how much of a longer one.
-pub const HOLD_MAX: usize = 64 * 1024;
-const HOLD_FIRST: usize = 16 * 1024;
-/// The least rate at which a client sends a body, bytes a second, with some room.
+/// The most bytes of a body that are buffered before anything is decided or passed on.
+pub const BUFFERED_MAX: usize = 64 * 1024;
+/// The bytes that are buffered of a body that is known to be longer than `BUFFERED_MAX`.
+const BUFFERED_FIRST_MAX: usize = 16 * 1024;
+/// The minimum upload rate of a client, in bytes per second, with a margin.
 const UPLOAD_RATE: f64 = 32_000.0;
-/// After this an answer that has begun is passed on as it comes, if it may be a long one.
-const FLOW_AFTER: Duration = Duration::from_millis(150);
+/// The time after which a response that has begun is streamed, unless it is known to be short.
+const STREAM_AFTER: Duration = Duration::from_millis(150);
 
-/// Why a body ends before its time.
+/// Why a body ended early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Broken {
-    /// Its connection ended, or its framing is bad.
-    #[error("the body broke off")]
+    /// The connection ended, or the framing is invalid.
+    #[error("the connection ended within the body, or its framing is invalid")]
     Connection,
-    /// Nothing came for too long.
+    /// No data arrived for too long.
     #[error("the body stalled")]
     Stalled,
-    /// It is longer than anything that is taken.
+    /// The body is longer than the limit.
     #[error("the body is too long")]
     TooLong,
 }
 
-type Part = Result<Frame<Bytes>, Broken>;
+type FrameResult = Result<Frame<Bytes>, Broken>;
 
-/// Bytes that may be held for all requests and answers together.
+/// A limit on the bytes buffered for all requests and responses together.
 #[derive(Clone)]
 pub struct Room {
     left: Rc<Cell<usize>>,
 }
 
-/// Bytes held; free again when dropped.
-pub struct Held {
-    room: Room,
+/// Buffered bytes, returned to the budget on drop.
+pub struct BufferReservation {
+    budget: Room,
     bytes: usize,
 }
 
 impl Room {
-    /// Room for so many bytes.
+    /// A budget of so many bytes.
     pub fn new(bytes: usize) -> Room {
         Room { left: Rc::new(Cell::new(bytes)) }
     }
 
-    /// Nothing held yet.
-    pub fn hold(&self) -> Held {
-        Held { room: self.clone(), bytes: 0 }
+    /// An empty reservation.
+    pub fn reserve(&self) -> BufferReservation {
+        BufferReservation { budget: self.clone(), bytes: 0 }
     }
 }
 
-impl Held {
-    /// Holds more; false where there is no room for it. What has been read is held all the same.
-    fn add(&mut self, bytes: usize) -> bool {
-        let left = self.room.left.get();
+impl BufferReservation {
+    /// Adds bytes to the reservation; returns whether they fit the budget. Bytes beyond the budget are
+    /// buffered too, but not counted.
+    fn grow(&mut self, bytes: usize) -> bool {
+        let left = self.budget.left.get();
         let fits = left >= bytes;
         let bytes = bytes.min(left);
-        self.room.left.set(left - bytes);
+        self.budget.left.set(left - bytes);
         self.bytes += bytes;
         fits
     }
 }
 
-impl Drop for Held {
+impl Drop for BufferReservation {
     fn drop(&mut self) {
-        self.room.left.set(self.room.left.get() + self.bytes);
+        self.budget.left.set(self.budget.left.get() + self.bytes);
     }
 }
 
-async fn next(body: &mut Incoming) -> Option<Part> {
+async fn next_frame(body: &mut Incoming) -> Option<FrameResult> {
     let frame = std::future::poll_fn(|cx| Pin::new(&mut *body).poll_frame(cx)).await;
     frame.map(|frame| frame.map_err(|_| Broken::Connection))
 }
 
-/// A request's body: what is held of it, and the rest where that has not come.
+/// A request's body: the buffered beginning, and the rest if there is more.
 pub struct Request {
-    /// Its first bytes, or all of them.
+    /// The first bytes, or the whole body.
     pub held: Bytes,
-    /// What else comes.
+    /// The part that is still to be received.
     pub rest: Option<Rc<Upload>>,
-    /// Room taken by what is held.
-    _room: Held,
+    /// The budget taken by the buffered bytes.
+    _reservation: BufferReservation,
 }
 
 impl Request {
-    /// A body of nothing.
-    pub fn empty(room: &Room) -> Request {
-        Request { held: Bytes::new(), rest: None, _room: room.hold() }
+    /// An empty body.
+    pub fn empty(budget: &Room) -> Request {
+        Request { held: Bytes::new(), rest: None, _reservation: budget.reserve() }
     }
 
-    /// Reads the beginning of a body, all of it if it is short. `since` is when its client had to begin.
-    pub async fn begin(mut body: Incoming, room: &Room, since: Instant) -> Result<Request, Broken> {
+    /// Reads the beginning of a body, or all of it if it is short. The client's time for the body counts from
+    /// `since`.
+    pub async fn begin(mut body: Incoming, budget: &Room, since: Instant) -> Result<Request, Broken> {
         let length = body.size_hint().exact();
-        let most = if length.is_some_and(|n| n > HOLD_MAX as u64) { HOLD_FIRST } else { HOLD_MAX };
-        let (mut held, mut hold) = (BytesMut::new(), room.hold());
-        let mut last = Instant::now();
-        while held.len() <= most {
-            let due = (since + UPLOAD_STALL + at_rate(held.len())).min(last + UPLOAD_STALL);
-            let part = timeout_at(due, next(&mut body)).await.map_err(|_| Broken::Stalled)?;
+        let limit =
+            if length.is_some_and(|n| n > BUFFERED_MAX as u64) { BUFFERED_FIRST_MAX } else { BUFFERED_MAX };
+        let (mut held, mut reservation) = (BytesMut::new(), budget.reserve());
+        let mut last_received = Instant::now();
+        while held.len() <= limit {
+            let deadline = (since + UPLOAD_STALL_TIMEOUT + upload_time(held.len()))
+                .min(last_received + UPLOAD_STALL_TIMEOUT);
+            let part = timeout_at(deadline, next_frame(&mut body)).await.map_err(|_| Broken::Stalled)?;
             let Some(part) = part else {
-                return Ok(Request { held: held.freeze(), rest: None, _room: hold });
+                return Ok(Request { held: held.freeze(), rest: None, _reservation: reservation });
             };
-            last = Instant::now();
+            last_received = Instant::now();
             let Ok(data) = part?.into_data() else { continue };
-            let fits = hold.add(data.len());
+            let fits = reservation.grow(data.len());
             held.extend_from_slice(&data);
             if !fits {
                 break;
             }
         }
         if body.is_end_stream() {
-            return Ok(Request { held: held.freeze(), rest: None, _room: hold });
+            return Ok(Request { held: held.freeze(), rest: None, _reservation: reservation });
         }
         let rest = Upload {
             left: length.map(|n| n.saturating_sub(held.len() as u64)),
@@ -133,18 +138,18 @@
             moved: Cell::new(Instant::now()),
             on_end: RefCell::default(),
         };
-        Ok(Request { held: held.freeze(), rest: Some(Rc::new(rest)), _room: hold })
+        Ok(Request { held: held.freeze(), rest: Some(Rc::new(rest)), _reservation: reservation })
     }
 }
 
-fn at_rate(bytes: usize) -> Duration {
+fn upload_time(bytes: usize) -> Duration {
     Duration::from_secs_f64(bytes as f64 / UPLOAD_RATE)
 }
 
-/// The rest of a request's body, still at its client.
+/// The rest of a request's body, not yet received from the client.
 pub struct Upload {
     body: RefCell<Option<Incoming>>,
-    /// How long it is, where that is known.
+    /// The length in bytes, if known.
     left: Option<u64>,
     spent: Cell<bool>,
     ended: Cell<Option<Instant>>,
@@ -153,12 +158,12 @@
 }
 
 impl Upload {
-    /// Whether any of it has been passed on, so that it can't be sent again.
+    /// Whether any of it has been passed on, so that the request can't be sent again.
     pub fn is_spent(&self) -> bool {
         self.spent.get()
     }
 
-    /// When all of it had been passed on.
+    /// When the last of it was passed on.
     pub fn ended(&self) -> Option<Instant> {
         self.ended.get()
     }
@@ -168,28 +173,30 @@
         self.moved.get()
     }
 
-    /// What to do when all of it has been passed on.
-    pub fn on_end(&self, what: impl FnOnce() + 'static) {
-        *self.on_end.borrow_mut() = Some(Box::new(what));
+    /// Sets a callback for when all of it has been passed on.
+    pub fn on_end(&self, callback: impl FnOnce() + 'static) {
+        *self.on_end.borrow_mut() = Some(Box::new(callback));
     }
 
-    /// Reads what is left and drops it, so that the client can read its answer.
+    /// Reads and discards the rest, so that the client can read its response.
     pub async fn drain(&self) {
         let Some(mut body) = self.body.borrow_mut().take() else { return };
-        while let Ok(Some(Ok(_))) = timeout_at(Instant::now() + UPLOAD_STALL, next(&mut body)).await {}
+        while let Ok(Some(Ok(_))) =
+            timeout_at(Instant::now() + UPLOAD_STALL_TIMEOUT, next_frame(&mut body)).await
+        {}
     }
 
     fn finish(&self) {
         if self.ended.replace(Some(Instant::now())).is_none() {
             self.body.borrow_mut().take();
-            // Outside the call that polled this: it may end in the decisions.
+            // Runs in its own task, not while polling: the callback feeds an event to the decision logic.
             if let Some(on_end) = self.on_end.borrow_mut().take() {
                 tokio::task::spawn_local(async move { on_end() });
             }
         }
     }
 
-    fn poll(&self, cx: &mut Context, passed: &mut u64) -> Poll<Option<Part>> {
+    fn poll(&self, cx: &mut Context, passed: &mut u64) -> Poll<Option<FrameResult>> {
         let polled = match self.body.borrow_mut().as_mut() {
             Some(body) => Pin::new(body).poll_frame(cx),
             None if self.ended.get().is_some() => return Poll::Ready(None),
@@ -215,7 +222,7 @@
     }
 }
 
-/// A request's body on its way to a server.
+/// A request body as it is sent to a server.
 pub struct Outgoing {
     held: Bytes,
     rest: Option<Rc<Upload>>,
@@ -224,9 +231,9 @@
 }
 
 impl Outgoing {
-    /// From its first byte on.
+    /// The body from its first byte.
     pub fn new(request: &Request) -> Outgoing {
-        let stall = request.rest.as_ref().map(|_| Box::pin(sleep(UPLOAD_STALL)));
+        let stall = request.rest.as_ref().map(|_| Box::pin(sleep(UPLOAD_STALL_TIMEOUT)));
         Outgoing { held: request.held.clone(), rest: request.rest.clone(), passed: 0, stall }
     }
 }
@@ -235,7 +242,7 @@
     type Data = Bytes;
     type Error = Broken;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Part>> {
+    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<FrameResult>> {
         let this = self.get_mut();
         if !this.held.is_empty() {
             return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut this.held)))));
@@ -243,7 +250,7 @@
         let (Some(rest), Some(stall)) = (&this.rest, &mut this.stall) else { return Poll::Ready(None) };
         let polled = rest.poll(cx, &mut this.passed);
         if polled.is_ready() {
-            stall.as_mut().reset(Instant::now() + UPLOAD_STALL);
+            stall.as_mut().reset(Instant::now() + UPLOAD_STALL_TIMEOUT);
         } else if stall.as_mut().poll(cx).is_ready() {
             return Poll::Ready(Some(Err(Broken::Stalled)));
         }
@@ -267,26 +274,26 @@
     }
 }
 
-/// An answer's body as far as it was waited for.
+/// A response body, either complete or to be streamed.
 pub enum Gathered {
-    /// All of it.
+    /// The whole body.
     Whole(Bytes),
-    /// Its beginning, and where the rest comes from.
+    /// The beginning, the source of the rest, and the length if known.
     Begun(VecDeque<Bytes>, Incoming, Option<u64>),
 }
 
-/// Reads an answer's body: whole if it is short, else only until it has begun.
-pub async fn gather(mut body: Incoming, room: &Room, may_flow: bool) -> Result<Gathered, Broken> {
+/// Reads a response body: completely if it is short, else only its beginning.
+pub async fn gather(mut body: Incoming, budget: &Room, may_stream: bool) -> Result<Gathered, Broken> {
     let length = body.size_hint().exact();
-    let short = length.is_some_and(|n| n <= HOLD_MAX as u64);
-    let long = length.is_some_and(|n| n > HOLD_MAX as u64);
-    let (mut parts, mut held, mut hold) = (VecDeque::new(), 0, room.hold());
+    let short = length.is_some_and(|n| n <= BUFFERED_MAX as u64);
+    let long = length.is_some_and(|n| n > BUFFERED_MAX as u64);
+    let (mut parts, mut held, mut reservation) = (VecDeque::new(), 0, budget.reserve());
     let since = Instant::now();
     loop {
-        let part = if short || !may_flow || held == 0 {
-            next(&mut body).await
+        let part = if short || !may_stream || held == 0 {
+            next_frame(&mut body).await
         } else {
-            match timeout_at(since + FLOW_AFTER, next(&mut body)).await {
+            match timeout_at(since + STREAM_AFTER, next_frame(&mut body)).await {
                 Ok(part) => part,
                 Err(_) => return Ok(Gathered::Begun(parts, body, length)),
             }
@@ -294,12 +301,12 @@
         let Some(part) = part else { break };
         let Ok(data) = part?.into_data() else { continue };
         held += data.len();
-        let fits = hold.add(data.len());
+        let fits = reservation.grow(data.len());
         parts.push_back(data);
-        if (long || held > HOLD_MAX || !fits) && may_flow {
+        if (long || held > BUFFERED_MAX || !fits) && may_stream {
             return Ok(Gathered::Begun(parts, body, length));
         }
-        if held > HOLD_MAX {
+        if held > BUFFERED_MAX {
             return Err(Broken::TooLong);
         }
     }
@@ -313,69 +320,70 @@
     }
 }
 
-/// Counts the end of a request whose answer is on its way.
-pub struct Counted {
+/// Counts in telemetry how a request with a streamed response ended.
+pub struct EndRecorder {
     telemetry: Rc<Telemetry>,
     class: usize,
     end: Cell<End>,
 }
 
-impl Counted {
-    /// Of a request whose client has left unless something else is said.
-    pub fn new(telemetry: Rc<Telemetry>, class: usize) -> Counted {
-        Counted { telemetry, class, end: Cell::new(End::Left) }
+impl EndRecorder {
+    /// Counts the client as disconnected unless another end is set.
+    pub fn new(telemetry: Rc<Telemetry>, class: usize) -> EndRecorder {
+        EndRecorder { telemetry, class, end: Cell::new(End::Left) }
     }
 }
 
-impl Drop for Counted {
+impl Drop for EndRecorder {
     fn drop(&mut self) {
         self.telemetry.ended(self.class, self.end.get());
     }
 }
 
-/// An answer's body on its way to the client.
-pub struct Flow {
+/// A response body that is streamed to the client.
+pub struct StreamedBody {
     parts: VecDeque<Bytes>,
     rest: Option<Incoming>,
     length: Option<u64>,
     passed: u64,
     stall: Pin<Box<Sleep>>,
-    counted: Option<Counted>,
-    /// What to do when all of it has come.
-    whole: Option<Box<dyn FnOnce()>>,
+    end_recorder: Option<EndRecorder>,
+    /// Callback for when all of it has been received.
+    on_complete: Option<Box<dyn FnOnce()>>,
 }
 
-impl Flow {
-    /// From its first byte on; `whole` is called when the last has come.
+impl StreamedBody {
+    /// The body from its first byte; `on_complete` is called when the last has been received.
     pub fn new(
         (parts, rest, length): (VecDeque<Bytes>, Incoming, Option<u64>),
-        whole: impl FnOnce() + 'static,
-    ) -> Flow {
-        let (stall, whole) = (Box::pin(sleep(FLOW_STALL)), Some(Box::new(whole) as Box<dyn FnOnce()>));
-        Flow { parts, rest: Some(rest), length, passed: 0, stall, counted: None, whole }
+        on_complete: impl FnOnce() + 'static,
+    ) -> StreamedBody {
+        let (stall, on_complete) =
+            (Box::pin(sleep(FLOW_STALL)), Some(Box::new(on_complete) as Box<dyn FnOnce()>));
+        StreamedBody { parts, rest: Some(rest), length, passed: 0, stall, end_recorder: None, on_complete }
     }
 
-    /// Counts its end.
-    pub fn count(&mut self, counted: Counted) {
-        self.counted = Some(counted);
+    /// Sets what counts the end of the request.
+    pub fn count(&mut self, end_recorder: EndRecorder) {
+        self.end_recorder = Some(end_recorder);
     }
 
     fn end(&mut self, end: End) {
-        if let Some(counted) = self.counted.take() {
-            counted.end.set(end);
+        if let Some(end_recorder) = self.end_recorder.take() {
+            end_recorder.end.set(end);
         }
-        if let (Some(whole), End::Served) = (self.whole.take(), end) {
-            whole();
+        if let (Some(on_complete), End::Served) = (self.on_complete.take(), end) {
+            on_complete();
         }
         self.rest = None;
     }
 }
 
-impl Body for Flow {
+impl Body for StreamedBody {
     type Data = Bytes;
     type Error = Broken;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Part>> {
+    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<FrameResult>> {
         let this = self.get_mut();
         let part = match (this.parts.pop_front(), &mut this.rest) {
             (Some(part), _) => Some(Ok(Frame::data(part))),
@@ -392,7 +400,7 @@
             Some(Err(_)) => this.end(End::Failed),
             Some(Ok(frame)) => {
                 this.passed += frame.data_ref().map_or(0, Bytes::len) as u64;
-                // With a length the library asks for nothing past it, and nothing past the trailers.
+                // The HTTP library doesn't poll past the known length or past trailers.
                 if frame.is_trailers() || this.length.is_some_and(|length| this.passed >= length) {
                     this.end(End::Served);
                 }
@@ -413,59 +421,60 @@
     }
 }
 
-/// An answer to a client: whole, or on its way. Tells when the last of it is out of hand.
-pub struct Reply {
-    whole: Bytes,
-    flow: Option<Flow>,
-    done: Option<Box<dyn FnOnce()>>,
+/// The body of a response to a client, complete or streamed, with a callback for when the HTTP library drops
+/// it.
+pub struct ResponseBody {
+    complete: Bytes,
+    streamed: Option<StreamedBody>,
+    on_drop: Option<Box<dyn FnOnce()>>,
 }
 
-impl Reply {
-    /// One that is there whole.
-    pub fn whole(body: Bytes) -> Reply {
-        Reply { whole: body, flow: None, done: None }
+impl ResponseBody {
+    /// A complete body.
+    pub fn complete(body: Bytes) -> ResponseBody {
+        ResponseBody { complete: body, streamed: None, on_drop: None }
     }
 
-    /// One that is on its way.
-    pub fn flow(flow: Flow) -> Reply {
-        Reply { whole: Bytes::new(), flow: Some(flow), done: None }
+    /// A streamed body.
+    pub fn streamed(streamed: StreamedBody) -> ResponseBody {
+        ResponseBody { complete: Bytes::new(), streamed: Some(streamed), on_drop: None }
     }
 
-    /// What to do when the library is done with it.
-    pub fn on_done(&mut self, what: impl FnOnce() + 'static) {
-        self.done = Some(Box::new(what));
+    /// Sets a callback for when the HTTP library has written or dropped the body.
+    pub fn on_drop(&mut self, callback: impl FnOnce() + 'static) {
+        self.on_drop = Some(Box::new(callback));
     }
 }
 
-impl Drop for Reply {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
-        if let Some(done) = self.done.take() {
-            done();
+        if let Some(on_drop) = self.on_drop.take() {
+            on_drop();
         }
     }
 }
 
-impl Body for Reply {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Broken;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Part>> {
+    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<FrameResult>> {
         let this = self.get_mut();
-        match &mut this.flow {
-            Some(flow) => Pin::new(flow).poll_frame(cx),
-            None if this.whole.is_empty() => Poll::Ready(None),
-            None => Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut this.whole))))),
+        match &mut this.streamed {
+            Some(streamed) => Pin::new(streamed).poll_frame(cx),
+            None if this.complete.is_empty() => Poll::Ready(None),
+            None => Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut this.complete))))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.whole.is_empty() && self.flow.as_ref().is_none_or(Flow::is_end_stream)
+        self.complete.is_empty() && self.streamed.as_ref().is_none_or(StreamedBody::is_end_stream)
     }
 
     fn size_hint(&self) -> SizeHint {
-        match &self.flow {
-            Some(flow) => flow.size_hint(),
-            None => SizeHint::with_exact(self.whole.len() as u64),
+        match &self.streamed {
+            Some(streamed) => streamed.size_hint(),
+            None => SizeHint::with_exact(self.complete.len() as u64),
         }
     }
 }
--- a/crates/gatekeeper/src/clients/framing.rs
+++ b/crates/gatekeeper/src/clients/framing.rs
@@ -1,41 +1,41 @@
-//! Watches the bytes of a request's head for two framings at once, which the HTTP library resolves in
-//! silence.
+//! Detects request heads with both `Content-Length` and `Transfer-Encoding`. The HTTP library silently picks
+//! one of the two framings.
 
-/// The longest name that tells of a framing, with its colon.
-const NAME_MAX: usize = 18;
+/// Bytes of a header line that are compared: the longest framing header's name with its colon.
+const PREFIX_MAX: usize = 18;
 
-/// What the head read so far says of its body.
+/// The framing headers seen in the part of a request head read so far.
 #[derive(Clone, Debug, Default)]
 pub struct Framing {
-    /// The beginning of the present line, in small letters, and how long that is.
-    line: [u8; NAME_MAX],
+    /// The beginning of the current line in lower case, and the length of the whole line.
+    line: [u8; PREFIX_MAX],
     length: usize,
     length_given: bool,
     chunked: bool,
-    /// The head is over; what follows is not its.
-    over: bool,
+    /// Whether the head is complete; bytes that follow don't belong to it.
+    complete: bool,
 }
 
 impl Framing {
-    /// Takes in what has been read.
+    /// Processes bytes received.
     pub fn feed(&mut self, bytes: &[u8]) {
         for byte in bytes {
-            if self.over {
+            if self.complete {
                 return;
             }
             match byte {
                 b'\n' => {
-                    let line = &self.line[..self.length.min(NAME_MAX)];
+                    let line = &self.line[..self.length.min(PREFIX_MAX)];
                     self.length_given |= line.starts_with(b"content-length:");
                     self.chunked |= line.starts_with(b"transfer-encoding:");
-                    // Lines may stand before a request's first.
-                    self.over = self.length == 0 && self.begun();
+                    // Empty lines may precede the request line.
+                    self.complete = self.length == 0 && self.has_started();
                     self.length = 0;
                 }
                 b'\r' => {}
                 _ => {
-                    if let Some(place) = self.line.get_mut(self.length) {
-                        *place = byte.to_ascii_lowercase();
+                    if let Some(slot) = self.line.get_mut(self.length) {
+                        *slot = byte.to_ascii_lowercase();
                     }
                     self.length += 1;
                 }
@@ -43,11 +43,11 @@
         }
     }
 
-    fn begun(&self) -> bool {
+    fn has_started(&self) -> bool {
         self.line[0] != 0
     }
 
-    /// Whether both a length and chunks are named.
+    /// Whether both framing headers are present.
     pub fn conflicts(&self) -> bool {
         self.length_given && self.chunked
     }
@@ -58,7 +58,7 @@
     use super::Framing;
 
     #[test]
-    fn both_framings_in_one_head_conflict_however_they_are_cut() {
+    fn both_framing_headers_conflict_wherever_the_head_is_split() {
         let (length, chunks) = ("content-Length: 5\r\n", "Transfer-Encoding: chunked\r\n");
         let cases = [
             (format!("POST / HTTP/1.1\r\n{length}{chunks}\r\n"), true),
--- a/crates/gatekeeper/src/clients/mod.rs
+++ b/crates/gatekeeper/src/clients/mod.rs
@@ -1,6 +1,7 @@
-//! The clients' side: whose connections stay, whose turn it is, requests read and checked, answers written.
+//! Client connections: admission and eviction, fair queueing, and the HTTP server that reads and validates
+//! requests and writes responses.
 
 pub mod connections;
+pub mod fair_queue;
 pub mod framing;
 pub mod side;
-pub mod turns;
--- a/crates/gatekeeper/src/clients/side.rs
+++ b/crates/gatekeeper/src/clients/side.rs
@@ -1,11 +1,11 @@
-//! The clients' side: connections and their number, requests read and checked, answers written.
+//! The HTTP server for clients: accepts connections, reads and validates requests and writes responses.
 
-use crate::body::{self, Broken, Reply, BODY_MAX};
-use crate::clients::connections::{Clients, Entry, Limits, Reason};
+use crate::body::{self, Broken, ResponseBody, BODY_MAX};
+use crate::clients::connections::{Admission, CloseReason, ConnectionManager, Limits};
+use crate::clients::fair_queue::NetworkFairQueue;
 use crate::clients::framing::Framing;
-use crate::clients::turns::NetworkTurns;
 use crate::config::Config;
-use crate::driver::{self, Answer, Driver, Taken};
+use crate::driver::{self, Answer, ClientRequest, Driver};
 use crate::servers::side::Parts;
 use crate::times;
 use bytes::Bytes;
@@ -33,40 +33,41 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::Instant;
 
-/// The largest head of a request, bytes.
+/// The largest request head, in bytes.
 const HEAD_MAX: usize = 16 * 1024;
-/// How long new connections are taken in after the call to stop.
-const STILL_ACCEPT: Duration = Duration::from_millis(500);
-/// How long clients keep idle connections after the call to evacuate, and how often the rest is looked at.
+/// How long new connections are still accepted after the signal to stop.
+const STOP_ACCEPT: Duration = Duration::from_millis(500);
+/// How long idle connections are kept after an evacuation begins.
 const EVACUATE_IDLE: Duration = Duration::from_millis(1_500);
-/// See `EVACUATE_IDLE`.
-const EVACUATE_AGAIN: Duration = Duration::from_millis(100);
-/// How long idle connections are kept once a successor takes the new ones.
+/// How often idle connections are closed after `EVACUATE_IDLE` or `RETIRE_IDLE`.
+const CLOSE_IDLE_INTERVAL: Duration = Duration::from_millis(100);
+/// How long idle connections are kept once the next process accepts the new ones.
 const RETIRE_IDLE: Duration = Duration::from_millis(500);
-/// How often a process that leaves looks whether its last client has.
-const LEFT_AGAIN: Duration = Duration::from_millis(20);
-/// Multiple of the longest deadline past which a client's patience counts for nothing: the records of its
-/// requests would otherwise be kept for as long as it pleases.
-const PATIENCE_MAX: u32 = 4;
+/// How often a process that hands over checks whether its last client has disconnected.
+const DRAINED_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The longest client timeout, as a multiple of the longest deadline; longer ones are cut to it. The records
+/// of a request would otherwise be kept for as long as a client asks.
+const CLIENT_TIMEOUT_FACTOR_MAX: u32 = 4;
 
-/// One client's connection, as its task and its sockets see it.
+/// A client connection's state, shared by its task and its socket.
 struct Client {
     number: u64,
     source: IpAddr,
-    since: Instant,
-    /// Whether a request of it is at work, and whether one is being read.
+    connected_at: Instant,
+    /// Whether a request is being served, and whether a request head is being read.
     busy: Cell<bool>,
-    in_head: Cell<bool>,
+    reading_head: Cell<bool>,
     framing: RefCell<Framing>,
-    /// Whether it lingers behind its last answer, and whether it makes room and so must not.
+    /// Whether the connection lingers after its last response, and whether it is being evicted, so that it
+    /// must not linger.
     lingers: Cell<bool>,
-    yields: Cell<bool>,
-    /// Asks for an end between two requests, or at once.
-    close: Notify,
-    end: Notify,
+    evicted: Cell<bool>,
+    /// Requests a close between two requests, or an immediate one.
+    close_when_idle: Notify,
+    close_now: Notify,
 }
 
-/// A client's connection as the HTTP library reads and writes it.
+/// A client's socket as the HTTP library reads and writes it.
 struct ClientIo {
     stream: TcpStream,
     client: Rc<Client>,
@@ -75,9 +76,9 @@
 }
 
 impl ClientIo {
-    fn note_write(&self, polled: &Poll<io::Result<usize>>) {
+    fn record_progress(&self, polled: &Poll<io::Result<usize>>) {
         if matches!(polled, Poll::Ready(Ok(_))) && self.client.busy.get() {
-            self.side.manager.borrow_mut().took(self.client.number, now());
+            self.side.manager.borrow_mut().on_response_progress(self.client.number, now());
         }
     }
 }
@@ -89,8 +90,8 @@
         let polled = Pin::new(&mut this.stream).poll_read(cx, buf);
         let read = &buf.filled()[before..];
         if !(this.client.busy.get() || read.is_empty()) {
-            if !this.client.in_head.replace(true) {
-                this.side.head_begins(&this.client);
+            if !this.client.reading_head.replace(true) {
+                this.side.on_head_begin(&this.client);
             }
             this.client.framing.borrow_mut().feed(read);
         }
@@ -102,7 +103,7 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let polled = Pin::new(&mut this.stream).poll_write(cx, buf);
-        this.note_write(&polled);
+        this.record_progress(&polled);
         polled
     }
 
@@ -113,7 +114,7 @@
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let polled = Pin::new(&mut this.stream).poll_write_vectored(cx, bufs);
-        this.note_write(&polled);
+        this.record_progress(&polled);
         polled
     }
 
@@ -129,7 +130,7 @@
         let this = self.get_mut();
         if this.linger.is_none() {
             ready!(Pin::new(&mut this.stream).poll_shutdown(cx))?;
-            if this.client.yields.get() {
+            if this.client.evicted.get() {
                 return Poll::Ready(Ok(()));
             }
             this.client.lingers.set(true);
@@ -138,51 +139,51 @@
     }
 }
 
-/// What the clients' side is about.
+/// The operating mode of the server.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Mode {
     Serving,
-    /// Clients are sent away until an operator calls it off.
+    /// Clients are disconnected until an operator activates the gatekeeper again.
     Evacuating,
-    /// The process ends.
+    /// The process is shutting down.
     Stopping,
 }
 
-/// The clients' side.
+/// The HTTP server for clients.
 pub struct ClientSide {
     driver: Rc<Driver>,
     names: Names,
     effects: Vec<Effect>,
     instances: u32,
-    patience_max: Duration,
+    client_timeout_max: Duration,
     half_close: bool,
-    /// Who may stay; and the connections themselves, with a place and without.
-    manager: RefCell<Clients>,
+    /// Admission and eviction; and the connections themselves, active and waiting.
+    manager: RefCell<ConnectionManager>,
     clients: RefCell<BTreeMap<u64, Rc<Client>>>,
     waiting: RefCell<BTreeMap<u64, (TcpStream, IpAddr)>>,
-    left: Notify,
-    /// Requests that are there whole, until it is their turn.
-    turns: RefCell<NetworkTurns<oneshot::Sender<()>>>,
-    due: Notify,
+    disconnected: Notify,
+    /// Requests that have been read, until it is their turn.
+    queue: RefCell<NetworkFairQueue<oneshot::Sender<()>>>,
+    queue_signal: Notify,
     ready: Cell<bool>,
-    /// Whether this process takes connections; what changes of that, or of readiness, is told by `turned`.
+    /// Whether this process accepts connections; `accepts_changed` signals changes.
     accepts: Cell<bool>,
     retired: Cell<bool>,
-    /// Whether a successor knows all that it needs.
-    may_leave: Cell<bool>,
-    turned: Notify,
-    told: Notify,
+    /// Whether the next process has received all state, so that this one may exit.
+    may_exit: Cell<bool>,
+    accepts_changed: Notify,
+    ready_changed: Notify,
     mode: Cell<Mode>,
-    /// Counts evacuations, so that an earlier one's end does not end the next.
+    /// Counts evacuations, so that the task of an earlier one does not act on a later one.
     evacuations: Cell<u64>,
-    odd: Cell<u64>,
-    refused: Cell<u64>,
+    accept_errors: Cell<u64>,
+    socket_option_errors: Cell<u64>,
 }
 
 impl ClientSide {
-    /// A server without clients, not ready yet.
+    /// A server without connections, not ready yet.
     pub fn new(driver: Rc<Driver>, config: &Config) -> Rc<ClientSide> {
-        let waiting = waiting(config.clients_max);
+        let waiting = waiting_share(config.clients_max);
         let limits = Limits {
             all: config.clients_max - waiting,
             waiting,
@@ -195,84 +196,85 @@
             names: config.names.clone(),
             effects: config.settings.classes.iter().map(|class| class.effect).collect(),
             instances: config.settings.instances.max(1),
-            patience_max: config.longest_deadline() * PATIENCE_MAX,
+            client_timeout_max: config.longest_deadline() * CLIENT_TIMEOUT_FACTOR_MAX,
             half_close: config.half_close,
-            manager: RefCell::new(Clients::new(limits, config.seed)),
+            manager: RefCell::new(ConnectionManager::new(limits, config.seed)),
             clients: RefCell::default(),
             waiting: RefCell::default(),
-            left: Notify::new(),
-            turns: RefCell::default(),
-            due: Notify::new(),
+            disconnected: Notify::new(),
+            queue: RefCell::default(),
+            queue_signal: Notify::new(),
             ready: Cell::new(false),
             accepts: Cell::new(true),
             retired: Cell::new(false),
-            may_leave: Cell::new(false),
-            turned: Notify::new(),
-            told: Notify::new(),
+            may_exit: Cell::new(false),
+            accepts_changed: Notify::new(),
+            ready_changed: Notify::new(),
             mode: Cell::new(Mode::Serving),
             evacuations: Cell::new(0),
-            odd: Cell::new(0),
-            refused: Cell::new(0),
+            accept_errors: Cell::new(0),
+            socket_option_errors: Cell::new(0),
         })
     }
 
-    /// Says from now on that requests can be served.
+    /// Marks the server as ready to serve requests.
     pub fn set_ready(&self) {
         self.ready.set(true);
-        self.told.notify_one();
+        self.ready_changed.notify_one();
     }
 
     /// Returns once requests can be served.
     pub async fn until_ready(&self) {
         while !self.ready.get() {
-            self.told.notified().await;
+            self.ready_changed.notified().await;
         }
     }
 
-    /// Whether connections are taken from now on.
+    /// Starts or stops accepting connections.
     pub fn set_accepts(&self, accepts: bool) {
         self.accepts.set(accepts);
         self.retired.set(false);
-        self.may_leave.set(false);
-        self.turned.notify_one();
+        self.may_exit.set(false);
+        self.accepts_changed.notify_one();
     }
 
-    /// How many clients there may be from now on, waiting or not; those that idle beyond it are closed, the
+    /// Changes the limit of connections, active and waiting; idle connections beyond it are closed, the
     /// longest idle first.
-    pub fn set_clients_max(&self, most: usize) {
-        let beyond = self.manager.borrow_mut().set_all(most.saturating_sub(waiting(most)).max(1));
-        beyond.into_iter().for_each(|number| self.tell(number, Reason::Room));
+    pub fn set_clients_max(&self, limit: usize) {
+        let excess =
+            self.manager.borrow_mut().set_capacity(limit.saturating_sub(waiting_share(limit)).max(1));
+        excess.into_iter().for_each(|number| self.close(number, CloseReason::Evicted));
     }
 
-    /// Lets the process end once its last client has left.
+    /// Allows the process to exit once its last client has disconnected.
     pub fn let_leave(&self) {
-        self.may_leave.set(true);
+        self.may_exit.set(true);
     }
 
-    /// Whether a successor takes the connections.
+    /// Whether the next process accepts the connections.
     pub fn is_retired(&self) -> bool {
         self.retired.get()
     }
 
-    /// How many clients there are.
+    /// The number of client connections, active and waiting.
     pub fn clients(&self) -> usize {
         self.manager.borrow().len()
     }
 
-    /// The figures of the clients' side.
+    /// The metrics of client connections.
     pub fn figures(&self) -> Vec<(String, u64)> {
-        self.manager.borrow().figures()
+        self.manager.borrow().metrics()
     }
 
-    /// Returns once a successor takes the connections and the last client here has left.
+    /// Returns once the next process has taken over and the last client of this one has disconnected.
     pub async fn until_left(&self) {
-        while !self.may_leave.get() || !self.manager.borrow().is_empty() {
-            tokio::time::sleep(LEFT_AGAIN).await;
+        while !self.may_exit.get() || !self.manager.borrow().is_empty() {
+            tokio::time::sleep(DRAINED_CHECK_INTERVAL).await;
         }
     }
 
-    /// Leaves the clients to a successor: no connection is taken any more, and those there are end with their
-    /// next answer, or when they have idled for a moment.
+    /// Leaves clients to the next process: no connection is accepted any more, and open ones are closed with
+    /// their next response, or when idle after `RETIRE_IDLE`.
     pub fn retire(self: &Rc<Self>) {
         self.set_accepts(false);
         self.retired.set(true);
@@ -281,29 +283,29 @@
             tokio::time::sleep(RETIRE_IDLE).await;
             while side.retired.get() {
                 side.close_idle(false);
-                tokio::time::sleep(EVACUATE_AGAIN).await;
+                tokio::time::sleep(CLOSE_IDLE_INTERVAL).await;
             }
         });
     }
 
-    /// Whether newcomers are wanted and can be served, here or by a successor.
+    /// Whether new clients are welcome and can be served, by this process or the next.
     pub fn is_up(&self) -> bool {
         let mode = self.mode.get();
         self.ready.get() && (mode == Mode::Serving || (mode == Mode::Stopping && self.retired.get()))
     }
 
-    /// Whether an operator has had clients sent away.
+    /// Whether an operator has started an evacuation.
     pub fn evacuates(&self) -> bool {
         self.mode.get() == Mode::Evacuating
     }
 
-    /// Whether this process takes clients, wanted or not.
+    /// Whether this process accepts clients, also during an evacuation.
     pub fn takes_clients(&self) -> bool {
         self.ready.get() && self.accepts.get() && self.mode.get() != Mode::Stopping
     }
 
-    /// Sends clients away, without an end to what was taken: newcomers are served once, idle clients are
-    /// closed when the front has had its time to learn of it.
+    /// Moves clients to other gatekeepers without aborting requests: new connections serve one request, idle
+    /// ones are closed after the front load balancer has had time to notice.
     pub fn evacuate(self: &Rc<Self>) {
         if self.mode.get() != Mode::Serving {
             return;
@@ -315,7 +317,7 @@
             tokio::time::sleep(EVACUATE_IDLE).await;
             while side.mode.get() == Mode::Evacuating && side.evacuations.get() == this {
                 side.close_idle(false);
-                tokio::time::sleep(EVACUATE_AGAIN).await;
+                tokio::time::sleep(CLOSE_IDLE_INTERVAL).await;
             }
         });
     }
@@ -327,28 +329,28 @@
         }
     }
 
-    /// Takes connections in for ever.
+    /// Accepts connections for ever.
     pub async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         loop {
             while !self.accepts.get() {
-                self.turned.notified().await;
+                self.accepts_changed.notified().await;
             }
-            let looks = self.manager.borrow_mut().accepts(now());
-            let waits = !self.waiting.borrow().is_empty();
+            let may_accept = self.manager.borrow_mut().should_accept(now());
+            let any_waiting = !self.waiting.borrow().is_empty();
             let accepted = tokio::select! {
-                accepted = listener.accept(), if looks => accepted,
-                () = self.turned.notified() => continue,
-                () = self.left.notified(), if !looks => continue,
-                () = tokio::time::sleep(times::ROOM), if waits => {
-                    self.make_room();
+                accepted = listener.accept(), if may_accept => accepted,
+                () = self.accepts_changed.notified() => continue,
+                () = self.disconnected.notified(), if !may_accept => continue,
+                () = tokio::time::sleep(times::EVICTION_INTERVAL), if any_waiting => {
+                    self.evict_for_waiting();
                     continue;
                 }
             };
             match accepted {
-                Ok((stream, from)) => self.arrive(stream, from.ip()),
-                // Out of descriptors, or the client has gone already: neither may end the gatekeeper.
+                Ok((stream, from)) => self.on_connection(stream, from.ip()),
+                // Out of file descriptors, or the client has already gone: neither may stop the gatekeeper.
                 Err(e) => {
-                    note(&self.odd, format_args!("accept: {e}"));
+                    note(&self.accept_errors, format_args!("accept: {e}"));
                     self.shed();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
@@ -356,144 +358,148 @@
         }
     }
 
-    fn arrive(self: &Rc<Self>, stream: TcpStream, from: IpAddr) {
+    fn on_connection(self: &Rc<Self>, stream: TcpStream, from: IpAddr) {
         let waiting = self.waiting.borrow();
         let silent = |number: u64| is_silent(waiting.get(&number).map_or(&stream, |(stream, _)| stream));
-        let (number, entry) = self.manager.borrow_mut().arrive(now(), from, silent);
+        let (number, admission) = self.manager.borrow_mut().on_connect(now(), from, silent);
         drop(waiting);
-        if entry == Entry::In {
+        if admission == Admission::Admitted {
             return self.admit(number, stream, from);
         }
         self.waiting.borrow_mut().insert(number, (stream, from));
-        if let Entry::Crowded(number) = entry {
-            self.tell(number, Reason::Crowd);
+        if let Admission::Rejected(number) = admission {
+            self.close(number, CloseReason::QueueFull);
         }
-        self.make_room();
+        self.evict_for_waiting();
     }
 
-    /// Ends connections for those that wait.
-    fn make_room(self: &Rc<Self>) {
-        let victims = self.manager.borrow_mut().make_room(now());
-        victims.into_iter().for_each(|number| self.tell(number, Reason::Room));
+    /// Evicts connections in favour of waiting ones.
+    fn evict_for_waiting(self: &Rc<Self>) {
+        let victims = self.manager.borrow_mut().evict_for_waiting(now());
+        victims.into_iter().for_each(|number| self.close(number, CloseReason::Evicted));
     }
 
-    /// The system has no descriptor left: ends a connection that can be.
+    /// Evicts a connection, if one can be, because the process is out of file descriptors.
     pub fn shed(&self) {
-        if let Some(number) = self.manager.borrow_mut().shed(now()) {
-            self.tell(number, Reason::Room);
+        if let Some(number) = self.manager.borrow_mut().evict_for_descriptors(now()) {
+            self.close(number, CloseReason::Evicted);
         }
     }
 
-    /// Ends what has had its time, and goes on making room. To be called every [`times::LOOK`].
+    /// Closes connections that exceed a time limit, and evicts for waiting ones. To be called every
+    /// [`times::LOOK`].
     pub fn look(self: &Rc<Self>) {
-        let due = self.manager.borrow_mut().due(now());
-        for (number, reason) in due {
-            self.tell(number, reason);
+        let expired = self.manager.borrow_mut().close_expired(now());
+        for (number, reason) in expired {
+            self.close(number, reason);
         }
-        self.make_room();
+        self.evict_for_waiting();
     }
 
-    /// Lets a connection know that it is to end.
-    fn tell(&self, number: u64, reason: Reason) {
-        // One without a place ends with its socket.
+    /// Closes a connection for the given reason.
+    fn close(&self, number: u64, reason: CloseReason) {
+        // A waiting connection has no task: dropping its socket closes it.
         if self.waiting.borrow_mut().remove(&number).is_some() {
-            self.manager.borrow_mut().gone(number);
+            self.manager.borrow_mut().on_closed(number);
         } else if let Some(client) = self.clients.borrow().get(&number) {
             if reason.is_gentle() {
-                client.close.notify_one();
+                client.close_when_idle.notify_one();
             } else {
-                client.end.notify_one();
+                client.close_now.notify_one();
             }
         }
     }
 
-    fn head_begins(&self, client: &Client) {
-        let too_many = self.manager.borrow_mut().read(client.number, now());
+    fn on_head_begin(&self, client: &Client) {
+        let too_many = self.manager.borrow_mut().on_head_bytes(client.number, now());
         if let Some(number) = too_many {
-            self.tell(number, Reason::Heads);
+            self.close(number, CloseReason::TooManyHeads);
         }
     }
 
-    /// Gives requests that are there whole their turns, for ever: one of each network, then others are read.
+    /// Starts queued requests for ever, one of each network a round; yields between rounds so that more
+    /// requests can be read.
     pub async fn take_turns(self: Rc<Self>) {
         loop {
-            self.due.notified().await;
+            self.queue_signal.notified().await;
             loop {
                 tokio::task::yield_now().await;
-                let round = self.turns.borrow().networks();
+                let round = self.queue.borrow().networks();
                 if round == 0 {
                     break;
                 }
                 for _ in 0..round {
-                    let next = self.turns.borrow_mut().pop();
-                    // Who has left meanwhile needs no turn.
+                    let next = self.queue.borrow_mut().pop();
+                    // The client may have disconnected meanwhile.
                     let _ = next.map(|turn| turn.send(()));
                 }
             }
         }
     }
 
-    async fn turn_of(&self, source: IpAddr) {
-        let (turn, due) = oneshot::channel();
-        self.turns.borrow_mut().push(source, turn);
-        self.due.notify_one();
-        // The sender is kept until it has sent.
-        let _ = due.await;
+    async fn wait_for_turn(&self, source: IpAddr) {
+        let (turn, granted) = oneshot::channel();
+        self.queue.borrow_mut().push(source, turn);
+        self.queue_signal.notify_one();
+        // The queue keeps the sender until it has sent.
+        let _ = granted.await;
     }
 
-    /// Stops as the deployment expects it: connections still come for a while and are taken in; all that was
-    /// taken is answered; those between requests are closed at once, while there is still someone to take in
-    /// a request that crosses the closing. Where a successor takes connections, those here are left to idle a
-    /// moment longer: each that ends with an answer can't cross anything.
-    pub async fn stop(self: &Rc<Self>, listener: Rc<TcpListener>, longest: Duration) {
+    /// Stops gracefully: connections are still accepted for a while, and all accepted requests are answered.
+    /// Idle connections are closed at once, while a request that crosses the close can still be retried on a
+    /// new connection. If the next process accepts connections, idle ones here are kept a little longer: a
+    /// connection that is closed with a response can't cross a request.
+    pub async fn stop(self: &Rc<Self>, listener: Rc<TcpListener>, drain_timeout: Duration) {
         self.mode.set(Mode::Stopping);
-        let until = Instant::now() + longest;
+        let until = Instant::now() + drain_timeout;
         if !self.retired.get() {
             self.close_idle(true);
-            let _ = tokio::time::timeout(STILL_ACCEPT, self.accept(&listener)).await;
+            let _ = tokio::time::timeout(STOP_ACCEPT, self.accept(&listener)).await;
             drop(listener);
             self.close_idle(false);
         }
         while !self.manager.borrow().is_empty() && Instant::now() < until {
-            let left = self.left.notified();
-            let _ = tokio::time::timeout_at(until, left).await;
+            let disconnected = self.disconnected.notified();
+            let _ = tokio::time::timeout_at(until, disconnected).await;
         }
     }
 
-    fn close_idle(&self, served: bool) {
+    fn close_idle(&self, answered_only: bool) {
         let clients = self.clients.borrow();
-        let idle = self.manager.borrow().idle(served);
-        idle.iter().filter_map(|number| clients.get(number)).for_each(|client| client.close.notify_one());
+        let idle = self.manager.borrow().idle(answered_only);
+        idle.iter()
+            .filter_map(|number| clients.get(number))
+            .for_each(|client| client.close_when_idle.notify_one());
     }
 
     fn admit(self: &Rc<Self>, number: u64, stream: TcpStream, source: IpAddr) {
         let _ = stream.set_nodelay(true);
-        set_user_timeout(&stream, times::FLOW_STALL, &self.refused);
+        set_user_timeout(&stream, times::FLOW_STALL, &self.socket_option_errors);
         let client = Rc::new(Client {
             number,
             source,
-            since: Instant::now(),
+            connected_at: Instant::now(),
             busy: Cell::default(),
-            in_head: Cell::default(),
+            reading_head: Cell::default(),
             framing: RefCell::default(),
             lingers: Cell::new(false),
-            yields: Cell::new(false),
-            close: Notify::new(),
-            end: Notify::new(),
+            evicted: Cell::new(false),
+            close_when_idle: Notify::new(),
+            close_now: Notify::new(),
         });
         self.clients.borrow_mut().insert(number, client.clone());
         let side = self.clone();
         tokio::task::spawn_local(async move {
             side.serve(stream, &client).await;
             side.clients.borrow_mut().remove(&number);
-            let let_in = side.manager.borrow_mut().gone(number);
-            for number in let_in {
+            let admitted = side.manager.borrow_mut().on_closed(number);
+            for number in admitted {
                 let waiting = side.waiting.borrow_mut().remove(&number);
                 if let Some((stream, from)) = waiting {
                     side.admit(number, stream, from);
                 }
             }
-            side.left.notify_one();
+            side.disconnected.notify_one();
         });
     }
 
@@ -502,52 +508,52 @@
         let service = service_fn(|request| {
             let (side, client) = (self.clone(), client.clone());
             client.busy.set(true);
-            client.in_head.set(false);
-            side.manager.borrow_mut().begin(number);
+            client.reading_head.set(false);
+            side.manager.borrow_mut().on_head_complete(number);
             let framing = client.framing.take();
             async move {
                 let mut answer = side.answer(request, &client, framing.conflicts()).await;
-                let old = side.manager.borrow().is_old(number, now());
-                if old || side.mode.get() != Mode::Serving || side.retired.get() {
+                let past_max_age = side.manager.borrow().is_past_max_age(number, now());
+                if past_max_age || side.mode.get() != Mode::Serving || side.retired.get() {
                     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
-                side.manager.borrow_mut().answers(number, now());
-                answer.body_mut().on_done(move || {
+                side.manager.borrow_mut().on_response_start(number, now());
+                answer.body_mut().on_drop(move || {
                     client.busy.set(false);
-                    side.manager.borrow_mut().done(number, now());
-                    // Those that wait may have found none that idles: now there is one.
-                    side.make_room();
-                    side.left.notify_one();
+                    side.manager.borrow_mut().on_response_complete(number, now());
+                    // Waiting connections may have found no idle one to evict; now there is one.
+                    side.evict_for_waiting();
+                    side.disconnected.notify_one();
                 });
                 Ok::<_, Infallible>(answer)
             }
         });
         let io = ClientIo { stream, client: client.clone(), side: self.clone(), linger: None };
-        let conn = hyper::server::conn::http1::Builder::new()
+        let connection = hyper::server::conn::http1::Builder::new()
             .header_read_timeout(None)
             .half_close(self.half_close)
             .max_buf_size(HEAD_MAX)
             .serve_connection(TokioIo::new(io), service);
-        let mut conn = std::pin::pin!(conn);
-        // A client that misbehaves or leaves ends its own connection and nothing else.
+        let mut connection = std::pin::pin!(connection);
+        // An error closes only this connection.
         tokio::select! {
-            ended = conn.as_mut() => return drop(ended),
-            () = client.end.notified() => return,
-            () = client.close.notified() => {
-                let makes_room = self.mode.get() != Mode::Stopping && !self.retired.get();
-                // One that makes room may hang in the middle of a head, or linger.
-                let between = self.manager.borrow().is_between(number);
-                if makes_room && (!between || client.lingers.get()) {
+            ended = connection.as_mut() => return drop(ended),
+            () = client.close_now.notified() => return,
+            () = client.close_when_idle.notified() => {
+                let evicts = self.mode.get() != Mode::Stopping && !self.retired.get();
+                // An evicted connection may be stalled in the middle of a head, or linger.
+                let between = self.manager.borrow().is_between_requests(number);
+                if evicts && (!between || client.lingers.get()) {
                     return;
                 }
-                // It idles: no answer is on its way that a reset could destroy.
-                client.yields.set(makes_room);
-                conn.as_mut().graceful_shutdown()
+                // The connection is idle: there is no response in transit that a reset could destroy.
+                client.evicted.set(evicts);
+                connection.as_mut().graceful_shutdown()
             }
         }
         tokio::select! {
-            _ = conn => {}
-            () = client.end.notified() => {}
+            _ = connection => {}
+            () = client.close_now.notified() => {}
         }
     }
 
@@ -556,10 +562,13 @@
         request: Request<Incoming>,
         client: &Client,
         conflicts: bool,
-    ) -> Response<Reply> {
+    ) -> Response<ResponseBody> {
         if request.uri().path() == "/up" && request.method() == Method::GET {
-            self.manager.borrow_mut().taken(client.number);
-            return plain(if self.is_up() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
+            self.manager.borrow_mut().on_request(client.number);
+            return text_response(
+                if self.is_up() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE },
+                "",
+            );
         }
         let read = async {
             match conflicts {
@@ -567,55 +576,57 @@
                 false => self.read(request, client).await,
             }
         };
-        let taken = match read.await {
-            Ok(taken) => taken,
-            Err((status, what)) => {
-                let mut answer = plain(status, what);
-                // What is left of it on the connection can't be told from a next request.
+        let client_request = match read.await {
+            Ok(client_request) => client_request,
+            Err((status, text)) => {
+                let mut answer = text_response(status, text);
+                // The rest of this request on the connection can't be told from a next request.
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 return answer;
             }
         };
-        self.turn_of(client.source).await;
-        let upload = taken.parts.upload().cloned();
-        // The ticket ends with this call: dropped early it says that the client has left.
-        let (_ticket, answer) = self.driver.take(taken);
+        self.wait_for_turn(client.source).await;
+        let upload = client_request.parts.upload().cloned();
+        // Dropping the guard before the answer signals that the client has disconnected.
+        let (_guard, answer) = self.driver.submit(client_request);
         let answer = match answer.await {
-            Ok(answer) => respond(answer),
-            Err(_) => plain(StatusCode::BAD_GATEWAY, "no answer"),
+            Ok(answer) => to_response(answer),
+            Err(_) => text_response(StatusCode::BAD_GATEWAY, "no answer"),
         };
         if let Some(upload) = upload.filter(|upload| upload.ended().is_none()) {
-            // A client that still sends would not read its answer from a connection that is reset.
+            // A client that is still sending would lose its response to a connection reset.
             tokio::task::spawn_local(async move { upload.drain().await });
         }
         answer
     }
 
-    /// Reads a request, and its body as far as that is held. Nothing that is malformed goes any further.
-    async fn read(&self, request: Request<Incoming>, client: &Client) -> Result<Taken, Bad> {
+    /// Reads and validates a request, and buffers the beginning of its body. Returns the response's status
+    /// and text for a malformed one.
+    async fn read(&self, request: Request<Incoming>, client: &Client) -> Result<ClientRequest, Rejection> {
         let (head, body) = request.into_parts();
         if body.size_hint().lower() > BODY_MAX {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "body too large"));
         }
         let class_name = header(&head.headers, "request-class")?;
-        let class = place(&self.names.classes, class_name).ok_or(bad("unknown class"))?;
-        let plan = place(&self.names.plans, header(&head.headers, "x-tier")?).ok_or(bad("unknown plan"))?;
+        let class = position(&self.names.classes, class_name).ok_or(bad("unknown class"))?;
+        let plan =
+            position(&self.names.plans, header(&head.headers, "x-tier")?).ok_or(bad("unknown plan"))?;
         if head.uri.path().split('/').nth(1) != Some(class_name) {
             return Err(bad("path and class differ"));
         }
-        let safe = self.effects.get(class) == Some(&Effect::Idempotent);
-        if head.method != if safe { Method::GET } else { Method::POST } {
+        let idempotent = self.effects.get(class) == Some(&Effect::Idempotent);
+        if head.method != if idempotent { Method::GET } else { Method::POST } {
             return Err(bad("method and class differ"));
         }
         let customer = customer(&head.headers)?;
-        let (units, gatekeepers) = terms(header(&head.headers, "x-call-terms")?, self.instances)?;
-        let patience = decimal(header(&head.headers, "request-timeout")?);
-        let patience = patience.and_then(|s| Duration::try_from_secs_f64(s).ok());
-        let patience = patience.ok_or(bad("bad Request-Timeout"))?;
+        let (units, gatekeepers) = parse_call_terms(header(&head.headers, "x-call-terms")?, self.instances)?;
+        let client_timeout = decimal(header(&head.headers, "request-timeout")?);
+        let client_timeout = client_timeout.and_then(|s| Duration::try_from_secs_f64(s).ok());
+        let client_timeout = client_timeout.ok_or(bad("bad Request-Timeout"))?;
         header(&head.headers, "request-id")?;
         let id = head.headers.get("request-id").cloned().ok_or(bad("no Request-Id"))?;
         let key = head.headers.get("idempotency-key").cloned();
-        // Without its key a repeat would run twice, with two there is no telling which one counts.
+        // Without a key a repeated request would run twice; with two keys it is undefined which one counts.
         if key.is_some() || self.effects.get(class) == Some(&Effect::Deduplicated) {
             header(&head.headers, "idempotency-key")?;
         }
@@ -623,26 +634,27 @@
         let body = if body.is_end_stream() {
             body::Request::empty(&self.driver.room)
         } else {
-            // From here on the body's own time counts; on a new connection it began with that.
-            let first = self.manager.borrow_mut().taken(client.number);
-            let since = if first { client.since } else { Instant::now() };
-            body::Request::begin(body, &self.driver.room, since).await.map_err(|broken| match broken {
+            // From here on the time limit of the body applies; for a connection's first request it counts
+            // from connecting.
+            let first = self.manager.borrow_mut().on_request(client.number);
+            let began = if first { client.connected_at } else { Instant::now() };
+            body::Request::begin(body, &self.driver.room, began).await.map_err(|broken| match broken {
                 Broken::Stalled => (StatusCode::REQUEST_TIMEOUT, "the body takes too long"),
                 Broken::Connection | Broken::TooLong => bad("bad framing"),
             })?
         };
-        self.manager.borrow_mut().taken(client.number);
-        if safe && !(body.held.is_empty() && body.rest.is_none()) {
+        self.manager.borrow_mut().on_request(client.number);
+        if idempotent && !(body.held.is_empty() && body.rest.is_none()) {
             return Err(bad("a body where none belongs"));
         }
-        Ok(Taken {
+        Ok(ClientRequest {
             customer,
             class: ClassId(class),
             plan: PlanId(plan),
             units,
             gatekeepers,
-            // Counted from the request's last byte.
-            until: Instant::now() + patience.min(self.patience_max),
+            // Counted from the end of reading: for a body that is buffered whole, from its last byte.
+            until: Instant::now() + client_timeout.min(self.client_timeout_max),
             parts: Parts {
                 method: head.method,
                 uri: uri.ok_or(bad("bad path"))?,
@@ -659,25 +671,25 @@
     Instant::now().into_std()
 }
 
-/// Whether nothing has come on a connection that is not read yet, or nothing more will.
+/// Whether a connection that is not read yet has received nothing, or has ended.
 fn is_silent(stream: &TcpStream) -> bool {
     let peeked = rustix::net::recv(stream, &mut [0; 1], RecvFlags::PEEK | RecvFlags::DONTWAIT);
     !matches!(peeked, Ok((1.., _)))
 }
 
-/// Of so many connections, those of newcomers that wait for a place.
-fn waiting(all: usize) -> usize {
+/// The part of a limit of connections that is set aside for waiting ones.
+fn waiting_share(all: usize) -> usize {
     (all / 16).clamp(1, 16)
 }
 
-type Bad = (StatusCode, &'static str);
+type Rejection = (StatusCode, &'static str);
 
-fn bad(what: &'static str) -> Bad {
-    (StatusCode::BAD_REQUEST, what)
+fn bad(text: &'static str) -> Rejection {
+    (StatusCode::BAD_REQUEST, text)
 }
 
-/// A header that must be there once, as text.
-fn header<'a>(headers: &'a HeaderMap, name: &str) -> Result<&'a str, Bad> {
+/// The text of a header that must be present exactly once.
+fn header<'a>(headers: &'a HeaderMap, name: &str) -> Result<&'a str, Rejection> {
     let mut values = headers.get_all(name).iter();
     match (values.next().and_then(|value| value.to_str().ok()), values.next()) {
         (Some(value), None) if !value.is_empty() => Ok(value),
@@ -685,12 +697,12 @@
     }
 }
 
-fn place(names: &[String], name: &str) -> Option<usize> {
+fn position(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
-/// The customer: the cookie `client`, 16 hexadecimal digits below 2^33.
-fn customer(headers: &HeaderMap) -> Result<CustomerId, Bad> {
+/// The customer's id from the cookie `client`: 16 hexadecimal digits below 2^33.
+fn customer(headers: &HeaderMap) -> Result<CustomerId, Rejection> {
     let cookies = headers.get_all(COOKIE).iter().filter_map(|value| value.to_str().ok());
     let mut clients =
         cookies.flat_map(|value| value.split(';')).filter_map(|c| c.trim().strip_prefix("client="));
@@ -702,8 +714,8 @@
     }
 }
 
-/// Units and number of gatekeepers, from `units=2,spread=3,first=1`.
-fn terms(text: &str, instances: u32) -> Result<(f64, u32), Bad> {
+/// The units and the number of gatekeepers from a header value like `units=2,spread=3,first=1`.
+fn parse_call_terms(text: &str, instances: u32) -> Result<(f64, u32), Rejection> {
     let (mut units, mut spread) = (None, None);
     for term in text.split(',') {
         match term.trim().split_once('=') {
@@ -717,18 +729,18 @@
     units.zip(spread).ok_or(bad("bad X-Call-Terms"))
 }
 
-fn plain(status: StatusCode, what: &'static str) -> Response<Reply> {
-    let mut response = Response::new(Reply::whole(Bytes::from_static(what.as_bytes())));
+fn text_response(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::complete(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
-fn respond(answer: Answer) -> Response<Reply> {
+fn to_response(answer: Answer) -> Response<ResponseBody> {
     match answer {
         Answer::Served(body, content_type) => {
             let mut response = Response::new(match body {
-                driver::Body::Whole(body) => Reply::whole(body),
-                driver::Body::Flow(flow) => Reply::flow(flow),
+                driver::Body::Complete(body) => ResponseBody::complete(body),
+                driver::Body::Streamed(streamed) => ResponseBody::streamed(streamed),
             });
             if let Some(value) = content_type {
                 response.headers_mut().insert(CONTENT_TYPE, value);
@@ -736,14 +748,15 @@
             response
         }
         Answer::Refused(wait) => {
-            let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused: trying again is harmless");
+            let mut response =
+                text_response(StatusCode::TOO_MANY_REQUESTS, "refused: trying again is harmless");
             let value = HeaderValue::from_str(&format!("{:.3}", wait as f64 / 1e6));
             if let (Ok(value), true) = (value, wait > 0) {
                 response.headers_mut().insert(RETRY_AFTER, value);
             }
             response
         }
-        Answer::Failed { late: true } => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
-        Answer::Failed { late: false } => plain(StatusCode::BAD_GATEWAY, "failed"),
+        Answer::Failed { late: true } => text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
+        Answer::Failed { late: false } => text_response(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
--- a/crates/gatekeeper/src/driver.rs
+++ b/crates/gatekeeper/src/driver.rs
@@ -1,6 +1,7 @@
-//! Owns the decisions, their clock and the open requests: events in, actions out. Each request ends once.
+//! Runs the decision logic: owns its state machine, its clock and the pending requests, passes events in and
+//! performs the actions that come out. Each request is answered exactly once.
 
-use crate::body::{Counted, Flow, Gathered, Room};
+use crate::body::{EndRecorder, Gathered, Room, StreamedBody};
 use crate::config::Config;
 use crate::counter::{Caller, Counter};
 use crate::events::Events;
@@ -21,107 +22,108 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Duration, Instant};
 
-/// Time kept back from each client's own, so that the last moment's answer reaches it before it leaves.
+/// A margin subtracted from each client's timeout, so that a response at the last moment still reaches the
+/// client.
 const ANSWER_MARGIN: Duration = Duration::from_millis(15);
 
-/// Unix time, read once: from then on it runs evenly and never goes back. All gatekeepers share it because
-/// the names of counts hold the number of a slot of time.
+/// Unix time, read once at the start and then advanced by a monotonic clock. It has to be Unix time because
+/// counter names contain the number of a time slot, on which all gatekeepers must agree.
 struct Clock {
-    at: Micros,
-    since: Instant,
+    started_unix: Micros,
+    started: Instant,
 }
 
 impl Clock {
     fn new() -> Self {
-        let at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { at: at.as_micros() as Micros, since: Instant::now() }
+        let started_unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { started_unix: started_unix.as_micros() as Micros, started: Instant::now() }
     }
 
     fn now(&self) -> Micros {
-        self.at + self.since.elapsed().as_micros() as Micros
+        self.started_unix + self.started.elapsed().as_micros() as Micros
     }
 }
 
-/// A server's good answer, on to the client.
+/// The body of a server's successful response.
 pub enum Body {
-    /// All of it.
-    Whole(Bytes),
-    /// What comes.
-    Flow(Flow),
+    /// The whole body.
+    Complete(Bytes),
+    /// A body that is streamed.
+    Streamed(StreamedBody),
 }
 
-/// The one final answer to a request.
+/// The final answer to a request.
 pub enum Answer {
-    /// A server's, with its word on what the body is.
+    /// A server's response: body and content type.
     Served(Body, Option<HeaderValue>),
-    /// Trying again is harmless, and best after so long.
+    /// The request was not executed; it can be retried safely, preferably after this delay.
     Refused(Micros),
-    /// Nothing is promised; whether time ran out.
+    /// The request failed; it may have been executed.
     Failed {
-        /// No server answered in time.
+        /// Whether an attempt timed out.
         late: bool,
     },
 }
 
-/// A client's request as the server has read it.
-pub struct Taken {
-    /// Whose it is.
+/// A client's validated request.
+pub struct ClientRequest {
+    /// The customer.
     pub customer: CustomerId,
-    /// Its class.
+    /// The request class.
     pub class: ClassId,
     /// The customer's plan.
     pub plan: PlanId,
-    /// Units, as guessed.
+    /// The estimated cost, in units.
     pub units: f64,
-    /// Gatekeepers that the customer's requests come through.
+    /// The number of gatekeepers that the customer's requests pass through.
     pub gatekeepers: u32,
-    /// When the client gives up.
+    /// The client's deadline.
     pub until: Instant,
-    /// What goes on to a server.
+    /// The parts that are forwarded to a server.
     pub parts: Parts,
 }
 
-struct Open {
+struct PendingRequest {
     parts: Rc<Parts>,
-    /// Where its answer goes; none once it has been given or the client has left.
+    /// The channel for the answer; none once it has been sent or the client has disconnected.
     reply: Option<oneshot::Sender<Answer>>,
-    /// By number; none once they have ended.
-    attempts: Vec<Option<Running>>,
+    /// Attempts by number; none once they have ended.
+    attempts: Vec<Option<RunningAttempt>>,
     class: usize,
     late: bool,
 }
 
-struct Running {
+struct RunningAttempt {
     server: ServerId,
     progress: Rc<Progress>,
     task: AbortHandle,
     sent: Instant,
 }
 
-/// The gatekeeper's heart.
+/// Connects the decision logic to clients, servers and the counter.
 pub struct Driver {
-    /// The servers' side.
+    /// Connections to servers.
     pub servers: Rc<Servers>,
-    /// The counter's side.
+    /// The connection to the counter.
     pub counter: Counter,
-    /// Where the list of servers stands.
+    /// The version and age of the server list.
     pub listing: Rc<Listing>,
-    /// What has become of all requests.
+    /// Counts of requests by result.
     pub telemetry: Rc<Telemetry>,
-    /// Room for bodies that are held.
+    /// The memory budget of buffered bodies.
     pub room: Room,
-    /// Says what becomes of this gatekeeper's own state.
+    /// The log of this gatekeeper's own state changes.
     pub says: Events,
     gatekeeper: RefCell<Gatekeeper>,
     clock: Clock,
-    open: RefCell<HashMap<RequestId, Open>>,
-    next: Cell<u64>,
-    events: RefCell<VecDeque<Event>>,
-    feeding: Cell<bool>,
+    pending: RefCell<HashMap<RequestId, PendingRequest>>,
+    last_id: Cell<u64>,
+    queue: RefCell<VecDeque<Event>>,
+    processing: Cell<bool>,
 }
 
 impl Driver {
-    /// A driver that has heard nothing yet.
+    /// A driver in its initial state.
     pub fn new(config: &Config) -> Rc<Driver> {
         let clock = Clock::new();
         let settings = config.settings.clone();
@@ -136,39 +138,39 @@
             counter: Counter::new(config.counter, settings.counter_timeout, config.seed),
             gatekeeper: RefCell::new(Gatekeeper::new(settings, config.seed, clock.now())),
             clock,
-            open: RefCell::default(),
-            next: Cell::new(0),
-            events: RefCell::default(),
-            feeding: Cell::new(false),
+            pending: RefCell::default(),
+            last_id: Cell::new(0),
+            queue: RefCell::default(),
+            processing: Cell::new(false),
         })
     }
 
-    /// Tells the decisions of something, and does what they want done about it. What that leads to at once
-    /// waits its turn, so that actions are carried out in the order in which they were decided.
+    /// Passes an event to the decision logic and performs the resulting actions. Events that arise meanwhile
+    /// are queued, so that actions are performed in the order in which they were decided.
     pub fn feed(self: &Rc<Self>, event: Event) {
-        self.events.borrow_mut().push_back(event);
-        if self.feeding.replace(true) {
+        self.queue.borrow_mut().push_back(event);
+        if self.processing.replace(true) {
             return;
         }
         let mut actions = Vec::new();
         loop {
-            let Some(event) = self.events.borrow_mut().pop_front() else { break };
+            let Some(event) = self.queue.borrow_mut().pop_front() else { break };
             self.gatekeeper.borrow_mut().handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.perform(action);
             }
         }
-        self.feeding.set(false);
+        self.processing.set(false);
     }
 
-    fn act(self: &Rc<Self>, action: Action) {
+    fn perform(self: &Rc<Self>, action: Action) {
         match action {
             Action::Send { request, server, timeout } => self.send(request, server, timeout),
             Action::Cancel { request, attempt } => self.cancel(&request, attempt),
             Action::Refuse { request, retry_after } => {
                 self.answer(&request, |_| Answer::Refused(retry_after))
             }
-            Action::Fail(request) => self.answer(&request, |open| Answer::Failed { late: open.late }),
+            Action::Fail(request) => self.answer(&request, |pending| Answer::Failed { late: pending.late }),
             Action::SetTimer { token, after } => {
                 let driver = self.clone();
                 tokio::task::spawn_local(async move {
@@ -177,17 +179,21 @@
                 });
             }
             Action::Count { name, amount, keep } => self.counter.call(self, name, amount, keep),
-            // The watch is always on.
+            // The server list is always followed.
             Action::Subscribe => {}
         }
     }
 
-    /// Takes a request in. Its answer comes on the channel; dropping the ticket says that the client left.
-    pub fn take(self: &Rc<Self>, taken: Taken) -> (Ticket, oneshot::Receiver<Answer>) {
-        self.next.set(self.next.get() + 1);
-        let id = RequestId(self.next.get().to_string());
+    /// Submits a request. The answer is sent on the channel; dropping the guard before that signals that the
+    /// client has disconnected.
+    pub fn submit(
+        self: &Rc<Self>,
+        client_request: ClientRequest,
+    ) -> (RequestGuard, oneshot::Receiver<Answer>) {
+        self.last_id.set(self.last_id.get() + 1);
+        let id = RequestId(self.last_id.get().to_string());
         let (reply, answer) = oneshot::channel();
-        let (parts, class) = (Rc::new(taken.parts), taken.class.0);
+        let (parts, class) = (Rc::new(client_request.parts), client_request.class.0);
         if let Some(upload) = parts.upload() {
             let (driver, id) = (self.clone(), id.clone());
             upload.on_end(move || {
@@ -197,83 +203,84 @@
             });
         }
         let whole = parts.upload().is_none();
-        let open = Open { parts, reply: Some(reply), attempts: Vec::new(), class, late: false };
-        self.open.borrow_mut().insert(id.clone(), open);
+        let pending = PendingRequest { parts, reply: Some(reply), attempts: Vec::new(), class, late: false };
+        self.pending.borrow_mut().insert(id.clone(), pending);
         self.telemetry.taken();
-        let left = taken.until.saturating_duration_since(Instant::now()).saturating_sub(ANSWER_MARGIN);
+        let time_left =
+            client_request.until.saturating_duration_since(Instant::now()).saturating_sub(ANSWER_MARGIN);
         self.feed(Event::Request(Request {
             id: id.clone(),
-            customer: taken.customer,
-            class: Some(taken.class),
-            plan: Some(taken.plan),
-            units: taken.units,
-            gatekeepers: taken.gatekeepers,
-            time_left: left.as_micros() as Micros,
+            customer: client_request.customer,
+            class: Some(client_request.class),
+            plan: Some(client_request.plan),
+            units: client_request.units,
+            gatekeepers: client_request.gatekeepers,
+            time_left: time_left.as_micros() as Micros,
             whole,
         }));
-        (Ticket { driver: self.clone(), id }, answer)
+        (RequestGuard { driver: self.clone(), id }, answer)
     }
 
     fn send(self: &Rc<Self>, id: RequestId, server: ServerId, timeout: Micros) {
-        let mut all = self.open.borrow_mut();
-        let Some(open) = all.get_mut(&id) else { return };
-        let (parts, n) = (open.parts.clone(), open.attempts.len());
+        let mut all = self.pending.borrow_mut();
+        let Some(pending) = all.get_mut(&id) else { return };
+        let (parts, n) = (pending.parts.clone(), pending.attempts.len());
         let progress = Rc::new(Progress::default());
         let sent = Instant::now();
-        let (driver, told, request) = (self.clone(), progress.clone(), id.clone());
+        let (driver, attempt_progress, request) = (self.clone(), progress.clone(), id.clone());
         let task = tokio::task::spawn_local(async move {
             let time = Duration::from_micros(timeout);
-            let mut attempted = driver.servers.attempt(server, &parts, time, &told).await;
+            let mut attempted = driver.servers.attempt(server, &parts, time, &attempt_progress).await;
             driver.attempt_done(&request, n, server, &mut attempted);
             driver.servers.give_back(server, attempted).await;
         });
-        open.attempts.push(Some(Running { server, progress, task: task.abort_handle(), sent }));
+        pending.attempts.push(Some(RunningAttempt { server, progress, task: task.abort_handle(), sent }));
     }
 
     fn attempt_done(self: &Rc<Self>, id: &RequestId, n: usize, server: ServerId, attempted: &mut Attempted) {
-        let ended = self.open.borrow_mut().get_mut(id).and_then(|open| {
-            open.late |= attempted.outcome == Outcome::Timeout;
-            open.attempts.get_mut(n).and_then(Option::take)
+        let ended = self.pending.borrow_mut().get_mut(id).and_then(|pending| {
+            pending.late |= attempted.outcome == Outcome::Timeout;
+            pending.attempts.get_mut(n).and_then(Option::take)
         });
         let Some(running) = ended else { return };
         if let Some(served) = attempted.served.take() {
             let body = match served.body {
-                Gathered::Whole(body) => Body::Whole(body),
+                Gathered::Whole(body) => Body::Complete(body),
                 Gathered::Begun(parts, rest, length) => {
                     let (driver, back) = (self.clone(), attempted.connection());
-                    Body::Flow(Flow::new((parts, rest, length), move || {
+                    Body::Streamed(StreamedBody::new((parts, rest, length), move || {
                         tokio::task::spawn_local(async move { driver.servers.give_back(server, back).await });
                     }))
                 }
             };
             self.answer(id, |_| Answer::Served(body, served.content_type));
         }
-        self.tell_end(id, n, attempted.outcome, running.sent, attempted.true_units);
+        self.report_attempt_end(id, n, attempted.outcome, running.sent, attempted.true_units);
     }
 
-    /// Calls an attempt off: its connection ends before the decisions hear of it, so that no further attempt
-    /// can be out together with it.
+    /// Cancels an attempt. Its connection is closed before the decision logic is notified, so that no further
+    /// attempt can run at the same time.
     fn cancel(self: &Rc<Self>, id: &RequestId, n: usize) {
-        let slot = self.open.borrow_mut().get_mut(id).and_then(|o| o.attempts.get_mut(n)?.take());
+        let slot = self.pending.borrow_mut().get_mut(id).and_then(|o| o.attempts.get_mut(n)?.take());
         let Some(running) = slot else { return };
         let outcome = if running.progress.give_up() { Outcome::Cancelled } else { Outcome::NotSent };
         running.task.abort();
-        self.tell_end(id, n, outcome, running.sent, None);
+        self.report_attempt_end(id, n, outcome, running.sent, None);
     }
 
-    /// Leaves a server out by hand, or puts it back; in force once this returns.
+    /// Excludes a server by an operator's call, or includes it again; in effect once this returns.
     pub fn by_hand(self: &Rc<Self>, server: ServerId, out: bool) {
         self.servers.set_left_out(server, out);
         self.feed(Event::ByHand { server, out });
         self.recall_unwritten();
     }
 
-    /// Calls off what waits for a connection to a server that takes no more work: once told of a drain,
-    /// nothing new may go out, and a connect that hangs would sit on the request for nothing.
+    /// Cancels attempts that wait for a connection to a server that takes no more work. Once a drain is known
+    /// no new request may be sent, and a connect that hangs would only delay the request.
     pub fn recall_unwritten(self: &Rc<Self>) {
         let mut recalled = Vec::new();
-        for (id, open) in self.open.borrow().iter() {
-            for (n, running) in open.attempts.iter().enumerate() {
+        for (id, pending) in self.pending.borrow().iter() {
+            for (n, running) in pending.attempts.iter().enumerate() {
                 if running.as_ref().is_some_and(|r| r.progress.waits() && !self.servers.takes_work(r.server))
                 {
                     recalled.push((id.clone(), n));
@@ -283,7 +290,7 @@
         recalled.iter().for_each(|(id, n)| self.cancel(id, *n));
     }
 
-    fn tell_end(
+    fn report_attempt_end(
         self: &Rc<Self>,
         id: &RequestId,
         attempt: usize,
@@ -291,58 +298,58 @@
         sent: Instant,
         true_units: Option<f64>,
     ) {
-        let closed = self.open.borrow().get(id).is_none_or(|open| open.reply.is_none());
-        if self.open.borrow().get(id).is_some_and(|open| open.parts.is_spent()) {
+        let closed = self.pending.borrow().get(id).is_none_or(|pending| pending.reply.is_none());
+        if self.pending.borrow().get(id).is_some_and(|pending| pending.parts.is_spent()) {
             self.feed(Event::Spent(id.clone()));
         }
-        self.forget_if_over(id);
+        self.remove_if_complete(id);
         let latency = sent.elapsed().as_micros() as Micros;
         let request = id.clone();
         self.feed(Event::AttemptDone(AttemptDone { request, attempt, outcome, latency, closed, true_units }));
     }
 
-    /// The only place that answers a client.
-    fn answer(&self, id: &RequestId, answer: impl FnOnce(&Open) -> Answer) {
-        if let Some(open) = self.open.borrow_mut().get_mut(id) {
-            if let Some(reply) = open.reply.take() {
-                let mut answer = answer(open);
+    /// Sends the answer to the client; nothing else does.
+    fn answer(&self, id: &RequestId, answer: impl FnOnce(&PendingRequest) -> Answer) {
+        if let Some(pending) = self.pending.borrow_mut().get_mut(id) {
+            if let Some(reply) = pending.reply.take() {
+                let mut answer = answer(pending);
                 let end = match &mut answer {
-                    Answer::Served(Body::Flow(flow), _) => {
-                        // It ends with its last byte.
-                        flow.count(Counted::new(self.telemetry.clone(), open.class));
+                    Answer::Served(Body::Streamed(streamed), _) => {
+                        // The request ends with the last byte of the body.
+                        streamed.count(EndRecorder::new(self.telemetry.clone(), pending.class));
                         None
                     }
-                    Answer::Served(Body::Whole(_), _) => Some(End::Served),
+                    Answer::Served(Body::Complete(_), _) => Some(End::Served),
                     Answer::Refused(_) => Some(End::Refused),
                     Answer::Failed { late: true } => Some(End::Late),
                     Answer::Failed { late: false } => Some(End::Failed),
                 };
                 if let Some(end) = end {
-                    self.telemetry.ended(open.class, end);
+                    self.telemetry.ended(pending.class, end);
                 }
-                // A client that has just left needs none.
+                // Fails if the client has just disconnected.
                 let _ = reply.send(answer);
             }
         }
-        self.forget_if_over(id);
+        self.remove_if_complete(id);
     }
 
-    fn client_gone(self: &Rc<Self>, id: &RequestId) {
-        let waits = |open: &mut Open| open.reply.take().map(|_| open.class);
-        let waited = self.open.borrow_mut().get_mut(id).and_then(waits);
-        if let Some(class) = waited {
+    fn on_client_disconnect(self: &Rc<Self>, id: &RequestId) {
+        let take_waiting = |pending: &mut PendingRequest| pending.reply.take().map(|_| pending.class);
+        let was_waiting = self.pending.borrow_mut().get_mut(id).and_then(take_waiting);
+        if let Some(class) = was_waiting {
             self.telemetry.ended(class, End::Left);
             self.feed(Event::ClientGone(id.clone()));
-            self.forget_if_over(id);
+            self.remove_if_complete(id);
         }
     }
 
-    /// What operators are told when they ask for the figures; the clients' side adds its own.
+    /// The telemetry report for operators; `clients` holds the metrics of client connections.
     pub fn report(&self, clients: Vec<(String, u64)>) -> String {
-        let down = self.gatekeeper.borrow().servers_avoided(self.clock.now());
-        let mut more = [
+        let servers_down = self.gatekeeper.borrow().servers_avoided(self.clock.now());
+        let mut metrics = [
             ("hosts_listed", self.servers.listed() as u64),
-            ("hosts_down", down as u64),
+            ("hosts_down", servers_down as u64),
             ("list_rev", self.listing.rev.get()),
             ("list_epoch", self.listing.epoch.get()),
             ("list_age_ms", self.listing.age().as_millis() as u64),
@@ -350,29 +357,29 @@
         ]
         .map(|(name, value)| (name.to_owned(), value))
         .to_vec();
-        more.extend(self.servers.figures());
-        more.extend(clients);
-        self.telemetry.report(&more)
+        metrics.extend(self.servers.figures());
+        metrics.extend(clients);
+        self.telemetry.report(&metrics)
     }
 
-    /// Hands what is known over to the next process of this gatekeeper, which takes what comes from now on.
+    /// Returns the state to hand over to the next process of this gatekeeper, which takes all new requests.
     pub fn hand_over(&self) -> Handover {
         self.gatekeeper.borrow_mut().hand_over(self.clock.now())
     }
 
-    /// Takes over from the process before; `ids` are its ids of the servers and ours.
-    pub fn take_over(&self, mut told: Handover, ids: &HashMap<ServerId, ServerId>) {
-        told.translate(ids);
-        self.gatekeeper.borrow_mut().take_over(told);
+    /// Takes over the state of the previous process; `ids` maps its server ids to those of this one.
+    pub fn take_over(&self, mut handover: Handover, ids: &HashMap<ServerId, ServerId>) {
+        handover.translate(ids);
+        self.gatekeeper.borrow_mut().take_over(handover);
     }
 
-    /// Goes on after all: the next process is no more.
+    /// Resumes after a handover to a process that has ended.
     pub fn carry_on(&self) {
         self.gatekeeper.borrow_mut().carry_on(self.clock.now());
     }
 
-    fn forget_if_over(&self, id: &RequestId) {
-        let mut all = self.open.borrow_mut();
+    fn remove_if_complete(&self, id: &RequestId) {
+        let mut all = self.pending.borrow_mut();
         if all.get(id).is_some_and(|o| o.reply.is_none() && o.attempts.iter().all(Option::is_none)) {
             all.remove(id);
         }
@@ -389,14 +396,15 @@
     }
 }
 
-/// Stands for a client that waits.
-pub struct Ticket {
+/// Represents a client that waits for its answer; dropping it before that signals that the client has
+/// disconnected.
+pub struct RequestGuard {
     driver: Rc<Driver>,
     id: RequestId,
 }
 
-impl Drop for Ticket {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.driver.client_gone(&self.id);
+        self.driver.on_client_disconnect(&self.id);
     }
 }
--- a/crates/gatekeeper/src/lib.rs
+++ b/crates/gatekeeper/src/lib.rs
@@ -1,9 +1,10 @@
-//! One gatekeeper on real sockets: carries events to the one [`granitelead_decisions::Gatekeeper`], and its
-//! actions out.
+//! The gatekeeper process: runs a [`granitelead_decisions::Gatekeeper`] on real sockets, passing it events
+//! and performing its actions.
 //!
-//! Imports run down this list, never up: `lifecycle` (start, reload, upgrade, stop), `operators`, `clients`
-//! and `list` (the sides that bring events), `driver` (which owns the decisions), `peers` (who of the others lives), `servers` and `counter`
-//! (the sides that carry actions out), `body`, `telemetry`, `config`, `events`, `times`.
+//! A module imports only modules that follow it in this list: `lifecycle` (start, reload, upgrade, stop),
+//! `operators`, `clients` and `list` (sources of events), `driver` (the decision logic), `peers`
+//! (membership), `servers` and `counter` (performing actions), `body`, `telemetry`, `config`, `events`,
+//! `times`.
 
 pub mod body;
 pub mod clients;
--- a/crates/gatekeeper/src/peers.rs
+++ b/crates/gatekeeper/src/peers.rs
@@ -1,5 +1,5 @@
-//! The way to the other gatekeepers: their datagrams in, ours out, and who of them lives. Only where `membership` is
-//! configured.
+//! Membership of the gatekeepers: exchanges datagrams with the others and reports which of them are alive.
+//! Only used if `membership` is configured.
 
 use crate::config::PeersConfig;
 use crate::events::{Events, Own};
@@ -15,65 +15,65 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep_until, Duration, Instant};
 
-/// Datagrams sent in a second, at most: half of what the platform lets a gatekeeper take in.
-const SENDS_MAX: u32 = 20;
-/// Others that a new process asks who is there.
-const FIRST: usize = 3;
+/// The most datagrams sent per second: half of what the platform lets a gatekeeper receive.
+const SENDS_PER_SECOND_MAX: u32 = 20;
+/// The number of other gatekeepers that a new process asks for the membership.
+const INITIAL_CONTACTS: usize = 3;
 
 /// The other gatekeepers.
 pub struct Peers {
     socket: UdpSocket,
-    places: Vec<SocketAddr>,
+    addresses: Vec<SocketAddr>,
     members: RefCell<Members>,
-    begun: Instant,
-    /// The present second, and what was sent in it.
+    started: Instant,
+    /// The current second, and the number of datagrams sent in it.
     second: Cell<(u64, u32)>,
     sent: Cell<u64>,
-    /// Not sent, as too much was sent in that second, or as the system refused it.
+    /// Datagrams not sent because of the limit per second or a send error.
     unsent: Cell<u64>,
-    taken: Cell<u64>,
+    received: Cell<u64>,
     dropped: RefCell<BTreeMap<Dropped, u64>>,
     events: Events,
 }
 
 impl Peers {
-    /// Opens the socket, and asks some others who is there.
+    /// Opens the socket, and sets up the first requests for the membership.
     pub async fn start(config: &PeersConfig, seed: u64, events: Events) -> io::Result<Rc<Peers>> {
         let socket = UdpSocket::bind(config.listen).await?;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let me = Id { number: config.me, start: unix.as_millis() as u64 };
         let mut rng = fastrand::Rng::with_seed(seed);
-        let of = config.places.len() as u16;
-        let first: Vec<u16> = (0..FIRST).map(|_| rng.u16(0..of)).collect();
-        let members = Members::new(0, me, of, &config.fleet, seed, &first);
+        let gatekeepers = config.places.len() as u16;
+        let initial: Vec<u16> = (0..INITIAL_CONTACTS).map(|_| rng.u16(0..gatekeepers)).collect();
+        let members = Members::new(0, me, gatekeepers, &config.fleet, seed, &initial);
         Ok(Rc::new(Peers {
             socket,
-            places: config.places.clone(),
+            addresses: config.places.clone(),
             members: RefCell::new(members),
-            begun: Instant::now(),
+            started: Instant::now(),
             second: Cell::default(),
             sent: Cell::default(),
             unsent: Cell::default(),
-            taken: Cell::default(),
+            received: Cell::default(),
             dropped: RefCell::default(),
             events,
         }))
     }
 
     fn now(&self) -> u64 {
-        self.begun.elapsed().as_micros() as u64
+        self.started.elapsed().as_micros() as u64
     }
 
-    /// Hears, asks and answers for ever.
+    /// Receives and sends datagrams for ever.
     pub async fn run(self: Rc<Self>) {
         let mut buffer = [0; DATAGRAM_MAX + 1];
         loop {
             self.flush().await;
-            let due = self.begun + Duration::from_micros(self.members.borrow().next());
+            let due = self.started + Duration::from_micros(self.members.borrow().next());
             tokio::select! {
-                came = self.socket.recv_from(&mut buffer) => match came {
-                    Ok((n, source)) => self.takes(source, &buffer[..n]),
-                    // Of a datagram sent before, to somebody who does not listen now.
+                received = self.socket.recv_from(&mut buffer) => match received {
+                    Ok((n, source)) => self.on_datagram(source, &buffer[..n]),
+                    // The error of an earlier datagram, to a gatekeeper that is not listening.
                     Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
                 },
                 () = sleep_until(due) => {
@@ -84,15 +84,15 @@
         }
     }
 
-    fn takes(&self, source: SocketAddr, datagram: &[u8]) {
-        self.taken.set(self.taken.get() + 1);
-        let from = self.places.iter().position(|at| *at == source);
-        let heard = match from {
+    fn on_datagram(&self, source: SocketAddr, datagram: &[u8]) {
+        self.received.set(self.received.get() + 1);
+        let from = self.addresses.iter().position(|at| *at == source);
+        let accepted = match from {
             Some(from) => self.members.borrow_mut().hears(self.now(), from as u16, datagram),
             None => Err(Dropped::Stranger),
         };
-        if let Err(why) = heard {
-            *self.dropped.borrow_mut().entry(why).or_default() += 1;
+        if let Err(reason) = accepted {
+            *self.dropped.borrow_mut().entry(reason).or_default() += 1;
         }
     }
 
@@ -105,13 +105,13 @@
             self.events.says(&Own::Member { gatekeeper, alive });
         }
         for (to, datagram) in sends {
-            let second = self.begun.elapsed().as_secs();
+            let second = self.started.elapsed().as_secs();
             let (at, n) = self.second.get();
             let n = if at == second { n + 1 } else { 1 };
             self.second.set((second, n));
-            let place = self.places.get(usize::from(to)).filter(|_| n <= SENDS_MAX);
-            let sent = match place {
-                Some(place) => self.socket.send_to(&datagram, place).await.is_ok(),
+            let address = self.addresses.get(usize::from(to)).filter(|_| n <= SENDS_PER_SECOND_MAX);
+            let sent = match address {
+                Some(address) => self.socket.send_to(&datagram, address).await.is_ok(),
                 None => false,
             };
             let count = if sent { &self.sent } else { &self.unsent };
@@ -119,20 +119,21 @@
         }
     }
 
-    /// This process ends: some others are told.
+    /// Notifies some of the others that this process is ending.
     pub async fn leaves(&self) {
         let now = self.now();
         self.members.borrow_mut().leaves(now);
         self.flush().await;
     }
 
-    /// Its figures.
+    /// The membership metrics.
     pub fn figures(&self) -> Vec<(String, u64)> {
         let members = self.members.borrow();
         let states = ["alive", "doubted", "dead", "unknown"].into_iter().zip(members.count());
         let mut figures: Vec<(String, u64)> =
             states.map(|(state, n)| (format!("members{{state=\"{state}\"}}"), n as u64)).collect();
-        let counts = [("sent", self.sent.get()), ("unsent", self.unsent.get()), ("taken", self.taken.get())];
+        let counts =
+            [("sent", self.sent.get()), ("unsent", self.unsent.get()), ("taken", self.received.get())];
         let dropped = self.dropped.borrow();
         let drops = [
             ("damaged", Dropped::Damaged),
@@ -140,9 +141,9 @@
             ("repeated", Dropped::Repeated),
             ("stranger", Dropped::Stranger),
         ]
-        .map(|(word, why)| (word, dropped.get(&why).copied().unwrap_or(0)));
+        .map(|(label, reason)| (label, dropped.get(&reason).copied().unwrap_or(0)));
         let all = counts.into_iter().chain(drops).chain([("senseless", members.refused())]);
-        figures.extend(all.map(|(word, n)| (format!("peer_datagrams{{what=\"{word}\"}}"), n)));
+        figures.extend(all.map(|(label, n)| (format!("peer_datagrams{{what=\"{label}\"}}"), n)));
         figures
     }
 }
