--- a/crates/gatekeeper/src/body.rs
+++ b/crates/gatekeeper/src/body.rs
@@ -26,7 +26,7 @@
 
 /// Why a body ended early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Broken {
+pub enum BodyError {
     /// The connection ended, or the framing is invalid.
     #[error("the connection ended within the body, or its framing is invalid")]
     Connection,
@@ -38,24 +38,24 @@
     TooLong,
 }
 
-type FrameResult = Result<Frame<Bytes>, Broken>;
+type FrameResult = Result<Frame<Bytes>, BodyError>;
 
 /// A limit on the bytes buffered for all requests and responses together.
 #[derive(Clone)]
-pub struct Room {
+pub struct BufferBudget {
     left: Rc<Cell<usize>>,
 }
 
 /// Buffered bytes, returned to the budget on drop.
 pub struct BufferReservation {
-    budget: Room,
+    budget: BufferBudget,
     bytes: usize,
 }
 
-impl Room {
+impl BufferBudget {
     /// A budget of so many bytes.
-    pub fn new(bytes: usize) -> Room {
-        Room { left: Rc::new(Cell::new(bytes)) }
+    pub fn new(bytes: usize) -> BufferBudget {
+        BufferBudget { left: Rc::new(Cell::new(bytes)) }
     }
 
     /// An empty reservation.
@@ -85,60 +85,68 @@
 
 async fn next_frame(body: &mut Incoming) -> Option<FrameResult> {
     let frame = std::future::poll_fn(|cx| Pin::new(&mut *body).poll_frame(cx)).await;
-    frame.map(|frame| frame.map_err(|_| Broken::Connection))
+    frame.map(|frame| frame.map_err(|_| BodyError::Connection))
 }
 
 /// A request's body: the buffered beginning, and the rest if there is more.
-pub struct Request {
+pub struct RequestBody {
     /// The first bytes, or the whole body.
-    pub held: Bytes,
+    pub buffered: Bytes,
     /// The part that is still to be received.
     pub rest: Option<Rc<Upload>>,
     /// The budget taken by the buffered bytes.
     _reservation: BufferReservation,
 }
 
-impl Request {
+impl RequestBody {
     /// An empty body.
-    pub fn empty(budget: &Room) -> Request {
-        Request { held: Bytes::new(), rest: None, _reservation: budget.reserve() }
+    pub fn empty(budget: &BufferBudget) -> RequestBody {
+        RequestBody { buffered: Bytes::new(), rest: None, _reservation: budget.reserve() }
     }
 
     /// Reads the beginning of a body, or all of it if it is short. The client's time for the body counts from
     /// `since`.
-    pub async fn begin(mut body: Incoming, budget: &Room, since: Instant) -> Result<Request, Broken> {
+    pub async fn begin(
+        mut body: Incoming,
+        budget: &BufferBudget,
+        since: Instant,
+    ) -> Result<RequestBody, BodyError> {
         let length = body.size_hint().exact();
         let limit =
             if length.is_some_and(|n| n > BUFFERED_MAX as u64) { BUFFERED_FIRST_MAX } else { BUFFERED_MAX };
-        let (mut held, mut reservation) = (BytesMut::new(), budget.reserve());
+        let (mut buffered, mut reservation) = (BytesMut::new(), budget.reserve());
         let mut last_received = Instant::now();
-        while held.len() <= limit {
-            let deadline = (since + UPLOAD_STALL_TIMEOUT + upload_time(held.len()))
+        while buffered.len() <= limit {
+            let deadline = (since + UPLOAD_STALL_TIMEOUT + upload_time(buffered.len()))
                 .min(last_received + UPLOAD_STALL_TIMEOUT);
-            let part = timeout_at(deadline, next_frame(&mut body)).await.map_err(|_| Broken::Stalled)?;
+            let part = timeout_at(deadline, next_frame(&mut body)).await.map_err(|_| BodyError::Stalled)?;
             let Some(part) = part else {
-                return Ok(Request { held: held.freeze(), rest: None, _reservation: reservation });
+                return Ok(RequestBody {
+                    buffered: buffered.freeze(),
+                    rest: None,
+                    _reservation: reservation,
+                });
             };
             last_received = Instant::now();
             let Ok(data) = part?.into_data() else { continue };
             let fits = reservation.grow(data.len());
-            held.extend_from_slice(&data);
+            buffered.extend_from_slice(&data);
             if !fits {
                 break;
             }
         }
         if body.is_end_stream() {
-            return Ok(Request { held: held.freeze(), rest: None, _reservation: reservation });
+            return Ok(RequestBody { buffered: buffered.freeze(), rest: None, _reservation: reservation });
         }
         let rest = Upload {
-            left: length.map(|n| n.saturating_sub(held.len() as u64)),
+            left: length.map(|n| n.saturating_sub(buffered.len() as u64)),
             body: RefCell::new(Some(body)),
-            spent: Cell::new(false),
-            ended: Cell::new(None),
-            moved: Cell::new(Instant::now()),
+            consumed: Cell::new(false),
+            completed_at: Cell::new(None),
+            last_progress: Cell::new(Instant::now()),
             on_end: RefCell::default(),
         };
-        Ok(Request { held: held.freeze(), rest: Some(Rc::new(rest)), _reservation: reservation })
+        Ok(RequestBody { buffered: buffered.freeze(), rest: Some(Rc::new(rest)), _reservation: reservation })
     }
 }
 
@@ -151,26 +159,26 @@
     body: RefCell<Option<Incoming>>,
     /// The length in bytes, if known.
     left: Option<u64>,
-    spent: Cell<bool>,
-    ended: Cell<Option<Instant>>,
-    moved: Cell<Instant>,
+    consumed: Cell<bool>,
+    completed_at: Cell<Option<Instant>>,
+    last_progress: Cell<Instant>,
     on_end: RefCell<Option<Box<dyn FnOnce()>>>,
 }
 
 impl Upload {
     /// Whether any of it has been passed on, so that the request can't be sent again.
-    pub fn is_spent(&self) -> bool {
-        self.spent.get()
+    pub fn is_consumed(&self) -> bool {
+        self.consumed.get()
     }
 
     /// When the last of it was passed on.
-    pub fn ended(&self) -> Option<Instant> {
-        self.ended.get()
+    pub fn completed_at(&self) -> Option<Instant> {
+        self.completed_at.get()
     }
 
     /// When some of it was last passed on.
-    pub fn moved(&self) -> Instant {
-        self.moved.get()
+    pub fn last_progress(&self) -> Instant {
+        self.last_progress.get()
     }
 
     /// Sets a callback for when all of it has been passed on.
@@ -187,7 +195,7 @@
     }
 
     fn finish(&self) {
-        if self.ended.replace(Some(Instant::now())).is_none() {
+        if self.completed_at.replace(Some(Instant::now())).is_none() {
             self.body.borrow_mut().take();
             // Runs in its own task, not while polling: the callback feeds an event to the decision logic.
             if let Some(on_end) = self.on_end.borrow_mut().take() {
@@ -199,19 +207,19 @@
     fn poll(&self, cx: &mut Context, passed: &mut u64) -> Poll<Option<FrameResult>> {
         let polled = match self.body.borrow_mut().as_mut() {
             Some(body) => Pin::new(body).poll_frame(cx),
-            None if self.ended.get().is_some() => return Poll::Ready(None),
-            None => return Poll::Ready(Some(Err(Broken::Connection))),
+            None if self.completed_at.get().is_some() => return Poll::Ready(None),
+            None => return Poll::Ready(Some(Err(BodyError::Connection))),
         };
         match std::task::ready!(polled) {
             None => {
-                self.spent.set(true);
+                self.consumed.set(true);
                 self.finish();
                 Poll::Ready(None)
             }
-            Some(Err(_)) => Poll::Ready(Some(Err(Broken::Connection))),
+            Some(Err(_)) => Poll::Ready(Some(Err(BodyError::Connection))),
             Some(Ok(frame)) => {
-                self.spent.set(true);
-                self.moved.set(Instant::now());
+                self.consumed.set(true);
+                self.last_progress.set(Instant::now());
                 *passed += frame.data_ref().map_or(0, Bytes::len) as u64;
                 if frame.is_trailers() || self.left.is_some_and(|left| *passed >= left) {
                     self.finish();
@@ -223,51 +231,52 @@
 }
 
 /// A request body as it is sent to a server.
-pub struct Outgoing {
-    held: Bytes,
+pub struct OutgoingBody {
+    buffered: Bytes,
     rest: Option<Rc<Upload>>,
     passed: u64,
     stall: Option<Pin<Box<Sleep>>>,
 }
 
-impl Outgoing {
+impl OutgoingBody {
     /// The body from its first byte.
-    pub fn new(request: &Request) -> Outgoing {
+    pub fn new(request: &RequestBody) -> OutgoingBody {
         let stall = request.rest.as_ref().map(|_| Box::pin(sleep(UPLOAD_STALL_TIMEOUT)));
-        Outgoing { held: request.held.clone(), rest: request.rest.clone(), passed: 0, stall }
+        OutgoingBody { buffered: request.buffered.clone(), rest: request.rest.clone(), passed: 0, stall }
     }
 }
 
-impl Body for Outgoing {
+impl Body for OutgoingBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<FrameResult>> {
         let this = self.get_mut();
-        if !this.held.is_empty() {
-            return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut this.held)))));
+        if !this.buffered.is_empty() {
+            return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut this.buffered)))));
         }
         let (Some(rest), Some(stall)) = (&this.rest, &mut this.stall) else { return Poll::Ready(None) };
         let polled = rest.poll(cx, &mut this.passed);
         if polled.is_ready() {
             stall.as_mut().reset(Instant::now() + UPLOAD_STALL_TIMEOUT);
         } else if stall.as_mut().poll(cx).is_ready() {
-            return Poll::Ready(Some(Err(Broken::Stalled)));
+            return Poll::Ready(Some(Err(BodyError::Stalled)));
         }
         polled
     }
 
     fn is_end_stream(&self) -> bool {
-        let left = |rest: &Rc<Upload>| rest.ended().is_none() || rest.left.is_some_and(|n| self.passed < n);
-        self.held.is_empty() && !self.rest.as_ref().is_some_and(left)
+        let left =
+            |rest: &Rc<Upload>| rest.completed_at().is_none() || rest.left.is_some_and(|n| self.passed < n);
+        self.buffered.is_empty() && !self.rest.as_ref().is_some_and(left)
     }
 
     fn size_hint(&self) -> SizeHint {
-        let held = self.held.len() as u64;
+        let buffered = self.buffered.len() as u64;
         match &self.rest {
-            None => SizeHint::with_exact(held),
+            None => SizeHint::with_exact(buffered),
             Some(rest) => match rest.left {
-                Some(left) => SizeHint::with_exact(held + left.saturating_sub(self.passed)),
+                Some(left) => SizeHint::with_exact(buffered + left.saturating_sub(self.passed)),
                 None => SizeHint::default(),
             },
         }
@@ -275,47 +284,51 @@
 }
 
 /// A response body, either complete or to be streamed.
-pub enum Gathered {
+pub enum ReceivedBody {
     /// The whole body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// The beginning, the source of the rest, and the length if known.
-    Begun(VecDeque<Bytes>, Incoming, Option<u64>),
+    Streaming(VecDeque<Bytes>, Incoming, Option<u64>),
 }
 
 /// Reads a response body: completely if it is short, else only its beginning.
-pub async fn gather(mut body: Incoming, budget: &Room, may_stream: bool) -> Result<Gathered, Broken> {
+pub async fn read_response_body(
+    mut body: Incoming,
+    budget: &BufferBudget,
+    may_stream: bool,
+) -> Result<ReceivedBody, BodyError> {
     let length = body.size_hint().exact();
     let short = length.is_some_and(|n| n <= BUFFERED_MAX as u64);
     let long = length.is_some_and(|n| n > BUFFERED_MAX as u64);
-    let (mut parts, mut held, mut reservation) = (VecDeque::new(), 0, budget.reserve());
+    let (mut parts, mut buffered, mut reservation) = (VecDeque::new(), 0, budget.reserve());
     let since = Instant::now();
     loop {
-        let part = if short || !may_stream || held == 0 {
+        let part = if short || !may_stream || buffered == 0 {
             next_frame(&mut body).await
         } else {
             match timeout_at(since + STREAM_AFTER, next_frame(&mut body)).await {
                 Ok(part) => part,
-                Err(_) => return Ok(Gathered::Begun(parts, body, length)),
+                Err(_) => return Ok(ReceivedBody::Streaming(parts, body, length)),
             }
         };
         let Some(part) = part else { break };
         let Ok(data) = part?.into_data() else { continue };
-        held += data.len();
+        buffered += data.len();
         let fits = reservation.grow(data.len());
         parts.push_back(data);
-        if (long || held > BUFFERED_MAX || !fits) && may_stream {
-            return Ok(Gathered::Begun(parts, body, length));
+        if (long || buffered > BUFFERED_MAX || !fits) && may_stream {
+            return Ok(ReceivedBody::Streaming(parts, body, length));
         }
-        if held > BUFFERED_MAX {
-            return Err(Broken::TooLong);
+        if buffered > BUFFERED_MAX {
+            return Err(BodyError::TooLong);
         }
     }
     match parts.len() {
-        1 => Ok(Gathered::Whole(parts.pop_front().unwrap_or_default())),
+        1 => Ok(ReceivedBody::Complete(parts.pop_front().unwrap_or_default())),
         _ => {
-            let mut all = BytesMut::with_capacity(held);
+            let mut all = BytesMut::with_capacity(buffered);
             parts.iter().for_each(|part| all.extend_from_slice(part));
-            Ok(Gathered::Whole(all.freeze()))
+            Ok(ReceivedBody::Complete(all.freeze()))
         }
     }
 }
@@ -381,7 +394,7 @@
 
 impl Body for StreamedBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<FrameResult>> {
         let this = self.get_mut();
@@ -389,8 +402,8 @@
             (Some(part), _) => Some(Ok(Frame::data(part))),
             (None, None) => None,
             (None, Some(rest)) => match Pin::new(rest).poll_frame(cx) {
-                Poll::Ready(part) => part.map(|part| part.map_err(|_| Broken::Connection)),
-                Poll::Pending if this.stall.as_mut().poll(cx).is_ready() => Some(Err(Broken::Stalled)),
+                Poll::Ready(part) => part.map(|part| part.map_err(|_| BodyError::Connection)),
+                Poll::Pending if this.stall.as_mut().poll(cx).is_ready() => Some(Err(BodyError::Stalled)),
                 Poll::Pending => return Poll::Pending,
             },
         };
@@ -456,7 +469,7 @@
 
 impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<FrameResult>> {
         let this = self.get_mut();
--- a/crates/gatekeeper/src/clients/side.rs
+++ b/crates/gatekeeper/src/clients/side.rs
@@ -1,6 +1,6 @@
 //! The HTTP server for clients: accepts connections, reads and validates requests and writes responses.
 
-use crate::body::{self, Broken, ResponseBody, BODY_MAX};
+use crate::body::{self, BodyError, ResponseBody, BODY_MAX};
 use crate::clients::connections::{Admission, CloseReason, ConnectionManager, Limits};
 use crate::clients::fair_queue::NetworkFairQueue;
 use crate::clients::framing::Framing;
@@ -593,7 +593,7 @@
             Ok(answer) => to_response(answer),
             Err(_) => text_response(StatusCode::BAD_GATEWAY, "no answer"),
         };
-        if let Some(upload) = upload.filter(|upload| upload.ended().is_none()) {
+        if let Some(upload) = upload.filter(|upload| upload.completed_at().is_none()) {
             // A client that is still sending would lose its response to a connection reset.
             tokio::task::spawn_local(async move { upload.drain().await });
         }
@@ -632,19 +632,21 @@
         }
         let uri = head.uri.path_and_query().and_then(|path| path.as_str().parse().ok());
         let body = if body.is_end_stream() {
-            body::Request::empty(&self.driver.room)
+            body::RequestBody::empty(&self.driver.buffer_budget)
         } else {
             // From here on the time limit of the body applies; for a connection's first request it counts
             // from connecting.
             let first = self.manager.borrow_mut().on_request(client.number);
             let began = if first { client.connected_at } else { Instant::now() };
-            body::Request::begin(body, &self.driver.room, began).await.map_err(|broken| match broken {
-                Broken::Stalled => (StatusCode::REQUEST_TIMEOUT, "the body takes too long"),
-                Broken::Connection | Broken::TooLong => bad("bad framing"),
+            body::RequestBody::begin(body, &self.driver.buffer_budget, began).await.map_err(|error| {
+                match error {
+                    BodyError::Stalled => (StatusCode::REQUEST_TIMEOUT, "the body takes too long"),
+                    BodyError::Connection | BodyError::TooLong => bad("bad framing"),
+                }
             })?
         };
         self.manager.borrow_mut().on_request(client.number);
-        if idempotent && !(body.held.is_empty() && body.rest.is_none()) {
+        if idempotent && !(body.buffered.is_empty() && body.rest.is_none()) {
             return Err(bad("a body where none belongs"));
         }
         Ok(ClientRequest {
--- a/crates/gatekeeper/src/driver.rs
+++ b/crates/gatekeeper/src/driver.rs
@@ -1,7 +1,7 @@
 //! Runs the decision logic: owns its state machine, its clock and the pending requests, passes events in and
 //! performs the actions that come out. Each request is answered exactly once.
 
-use crate::body::{EndRecorder, Gathered, Room, StreamedBody};
+use crate::body::{BufferBudget, EndRecorder, ReceivedBody, StreamedBody};
 use crate::config::Config;
 use crate::counter::{Caller, Counter};
 use crate::events::Events;
@@ -111,7 +111,7 @@
     /// Counts of requests by result.
     pub telemetry: Rc<Telemetry>,
     /// The memory budget of buffered bodies.
-    pub room: Room,
+    pub buffer_budget: BufferBudget,
     /// The log of this gatekeeper's own state changes.
     pub says: Events,
     gatekeeper: RefCell<Gatekeeper>,
@@ -128,12 +128,12 @@
         let clock = Clock::new();
         let settings = config.settings.clone();
         let telemetry = Rc::new(Telemetry::new(&config.names.classes));
-        let room = Room::new(config.held_max);
+        let buffer_budget = BufferBudget::new(config.held_max);
         Rc::new(Driver {
-            servers: Servers::new(config, telemetry.calls(), room.clone()),
+            servers: Servers::new(config, telemetry.calls(), buffer_budget.clone()),
             listing: Listing::new(),
             telemetry,
-            room,
+            buffer_budget,
             says: config.events,
             counter: Counter::new(config.counter, settings.counter_timeout, config.seed),
             gatekeeper: RefCell::new(Gatekeeper::new(settings, config.seed, clock.now())),
@@ -245,8 +245,8 @@
         let Some(running) = ended else { return };
         if let Some(served) = attempted.served.take() {
             let body = match served.body {
-                Gathered::Whole(body) => Body::Complete(body),
-                Gathered::Begun(parts, rest, length) => {
+                ReceivedBody::Complete(body) => Body::Complete(body),
+                ReceivedBody::Streaming(parts, rest, length) => {
                     let (driver, back) = (self.clone(), attempted.connection());
                     Body::Streamed(StreamedBody::new((parts, rest, length), move || {
                         tokio::task::spawn_local(async move { driver.servers.give_back(server, back).await });
--- a/crates/gatekeeper/src/servers/side.rs
+++ b/crates/gatekeeper/src/servers/side.rs
@@ -1,6 +1,6 @@
 //! The servers' side: pooled connections, attempts, and what an attempt's end proves.
 
-use crate::body::{self, gather, Broken, Gathered, Outgoing, Room, Upload};
+use crate::body::{self, read_response_body, BodyError, BufferBudget, OutgoingBody, ReceivedBody, Upload};
 use crate::config::Config;
 use crate::servers::dials::{Ask, Dialed, Dials};
 use crate::times::{FLOW_STALL, SERVER_ACK};
@@ -44,7 +44,7 @@
     /// The client's word on what the body is.
     pub content_type: Option<HeaderValue>,
     /// The body.
-    pub body: body::Request,
+    pub body: body::RequestBody,
 }
 
 impl Parts {
@@ -55,14 +55,14 @@
 
     /// Whether some of it can't be sent again.
     pub fn is_spent(&self) -> bool {
-        self.upload().is_some_and(|upload| upload.is_spent())
+        self.upload().is_some_and(|upload| upload.is_consumed())
     }
 }
 
 /// A server's good answer.
 pub struct Served {
     /// The body, unchanged.
-    pub body: Gathered,
+    pub body: ReceivedBody,
     /// What it is.
     pub content_type: Option<HeaderValue>,
 }
@@ -120,7 +120,7 @@
                 wire.close();
                 match sent {
                     Sent::Least(least) => wire.written() >= least,
-                    Sent::Upload(upload) => upload.ended().is_some(),
+                    Sent::Upload(upload) => upload.completed_at().is_some(),
                 }
             }
         }
@@ -131,7 +131,7 @@
         let sent = match parts.upload() {
             Some(upload) => Sent::Upload(upload.clone()),
             None => {
-                let least = wire.written() + 1 + parts.body.held.len() as u64;
+                let least = wire.written() + 1 + parts.body.buffered.len() as u64;
                 wire.expect(least);
                 Sent::Least(least)
             }
@@ -142,7 +142,7 @@
 
 /// A connection between two requests.
 struct Conn {
-    sender: SendRequest<Outgoing>,
+    sender: SendRequest<OutgoingBody>,
     wire: Rc<Wire>,
     idle_since: Instant,
     used: bool,
@@ -217,7 +217,7 @@
     connect_timeout: Duration,
     keep_idle: Duration,
     calls: Rc<Cell<u64>>,
-    room: Room,
+    room: BufferBudget,
     odd: Cell<u64>,
     refused: Cell<u64>,
 }
@@ -225,7 +225,7 @@
 impl Servers {
     /// None known yet. Connections are retired at half the time after which servers close them: a request
     /// that crosses the closing would be a reset, which may have run. `calls` counts requests written whole.
-    pub fn new(config: &Config, calls: Rc<Cell<u64>>, room: Room) -> Rc<Self> {
+    pub fn new(config: &Config, calls: Rc<Cell<u64>>, room: BufferBudget) -> Rc<Self> {
         Rc::new(Servers {
             pools: RefCell::default(),
             left_out: RefCell::default(),
@@ -390,7 +390,7 @@
                 // A kept connection turned out to be closed before anything was written: that was no attempt.
                 Some(Err(_)) if used && !whole && !parts.is_spent() => continue,
                 _ if !whole => return Outcome::ConnectFailed.into(),
-                Some(Err(Broken::TooLong)) => {
+                Some(Err(BodyError::TooLong)) => {
                     note(&self.odd, format_args!("server {}: answer too large", server.0));
                     return Outcome::Error.into();
                 }
@@ -592,14 +592,16 @@
     Instant::now().into_std()
 }
 
-type Answer = (StatusCode, HeaderMap, Gathered);
+type Answer = (StatusCode, HeaderMap, ReceivedBody);
 
 /// Returns when an attempt has had its time, which begins with the request's last byte; before that, when
 /// nothing of it has moved for long.
 async fn over(parts: &Parts, deadline: Instant, time: Duration) {
     let Some(upload) = parts.upload() else { return sleep_until(deadline).await };
     loop {
-        let until = upload.ended().map_or(upload.moved().max(deadline - time) + FLOW_STALL, |at| at + time);
+        let until = upload
+            .completed_at()
+            .map_or(upload.last_progress().max(deadline - time) + FLOW_STALL, |at| at + time);
         if Instant::now() >= until {
             return;
         }
@@ -609,12 +611,12 @@
 }
 
 async fn exchange(
-    sender: &mut SendRequest<Outgoing>,
+    sender: &mut SendRequest<OutgoingBody>,
     parts: &Parts,
     deadline: Instant,
-    room: &Room,
-) -> Result<Answer, Broken> {
-    let mut request = Request::new(Outgoing::new(&parts.body));
+    room: &BufferBudget,
+) -> Result<Answer, BodyError> {
+    let mut request = Request::new(OutgoingBody::new(&parts.body));
     *request.method_mut() = parts.method.clone();
     *request.uri_mut() = parts.uri.clone();
     let headers = request.headers_mut();
@@ -630,12 +632,12 @@
     if let Some(value) = &parts.content_type {
         headers.insert(CONTENT_TYPE, value.clone());
     }
-    let answer: Response<Incoming> = sender.send_request(request).await.map_err(|_| Broken::Connection)?;
+    let answer: Response<Incoming> = sender.send_request(request).await.map_err(|_| BodyError::Connection)?;
     let (head, body) = answer.into_parts();
     if head.headers.contains_key(CONTENT_LENGTH) && head.headers.contains_key(TRANSFER_ENCODING) {
         // Which of the two framings holds can't be told.
-        return Err(Broken::Connection);
+        return Err(BodyError::Connection);
     }
-    let body = gather(body, room, head.status == StatusCode::OK).await?;
+    let body = read_response_body(body, room, head.status == StatusCode::OK).await?;
     Ok((head.status, head.headers, body))
 }
