--- a/crates/gatekeeper/src/body.rs
+++ b/crates/gatekeeper/src/body.rs
@@ -1,7 +1,7 @@
 //! Request and response bodies: buffered if short, else streamed between client and server.
 
 use crate::telemetry::{End, Telemetry};
-use crate::times::{FLOW_STALL, UPLOAD_STALL_TIMEOUT};
+use crate::timeouts::{STREAM_STALL_TIMEOUT, UPLOAD_STALL_TIMEOUT};
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -372,7 +372,7 @@
         on_complete: impl FnOnce() + 'static,
     ) -> StreamedBody {
         let (stall, on_complete) =
-            (Box::pin(sleep(FLOW_STALL)), Some(Box::new(on_complete) as Box<dyn FnOnce()>));
+            (Box::pin(sleep(STREAM_STALL_TIMEOUT)), Some(Box::new(on_complete) as Box<dyn FnOnce()>));
         StreamedBody { parts, rest: Some(rest), length, passed: 0, stall, end_recorder: None, on_complete }
     }
 
@@ -407,7 +407,7 @@
                 Poll::Pending => return Poll::Pending,
             },
         };
-        this.stall.as_mut().reset(Instant::now() + FLOW_STALL);
+        this.stall.as_mut().reset(Instant::now() + STREAM_STALL_TIMEOUT);
         match &part {
             None => this.end(End::Served),
             Some(Err(_)) => this.end(End::Failed),
--- a/crates/gatekeeper/src/clients/connections.rs
+++ b/crates/gatekeeper/src/clients/connections.rs
@@ -1,7 +1,7 @@
 //! Admission, eviction and time limits of client connections: capacity is shared fairly among the networks
 //! and addresses that clients connect from. No I/O; the time is passed in.
 
-use crate::times;
+use crate::timeouts;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 use std::time::{Duration, Instant};
@@ -107,7 +107,7 @@
 
 impl Connection {
     /// The eviction priority, lowest first; `None` if the connection can't be evicted. New connections
-    /// without a byte come first, then idle connections, then heads past [`times::HEAD_EVICTION_AGE`].
+    /// without a byte come first, then idle connections, then heads past [`timeouts::HEAD_EVICTION_AGE`].
     /// `below_share` says that the waiting source has less than its fair share; then any stalled head can be
     /// evicted too.
     fn eviction_priority(&self, now: Instant, below_share: bool) -> Option<u8> {
@@ -116,7 +116,7 @@
             State::Waiting | State::Busy => None,
             State::New => self.is_stalled(now).then_some(0),
             State::Idle(_) => Some(1),
-            State::Head(since) if now - since >= times::HEAD_EVICTION_AGE => Some(2),
+            State::Head(since) if now - since >= timeouts::HEAD_EVICTION_AGE => Some(2),
             State::Head(_) => {
                 (below_share && self.is_stalled(now)).then_some(if self.request_received { 4 } else { 3 })
             }
@@ -127,8 +127,8 @@
     /// at once.
     fn is_stalled(&self, now: Instant) -> bool {
         match self.state {
-            State::New => now - self.connected_at >= times::STALL_GRACE,
-            State::Head(since) => now - since >= times::STALL_GRACE,
+            State::New => now - self.connected_at >= timeouts::STALL_GRACE,
+            State::Head(since) => now - since >= timeouts::STALL_GRACE,
             State::Waiting | State::Idle(_) | State::Busy => false,
         }
     }
@@ -141,20 +141,20 @@
     fn exceeded_limit(&self, now: Instant) -> Option<CloseReason> {
         let expired = |since: Instant, time| now.saturating_duration_since(since) >= time;
         match self.state {
-            _ if !self.request_received && expired(self.connected_at, times::FIRST_REQUEST_TIMEOUT) => {
+            _ if !self.request_received && expired(self.connected_at, timeouts::FIRST_REQUEST_TIMEOUT) => {
                 Some(CloseReason::FirstRequestTimeout)
             }
-            State::Head(since) if expired(since, times::FIRST_REQUEST_TIMEOUT) => {
+            State::Head(since) if expired(since, timeouts::FIRST_REQUEST_TIMEOUT) => {
                 Some(CloseReason::HeadTimeout)
             }
-            State::Idle(since) if expired(since, times::CLIENT_IDLE_TIMEOUT) => {
+            State::Idle(since) if expired(since, timeouts::CLIENT_IDLE_TIMEOUT) => {
                 Some(CloseReason::IdleTimeout)
             }
             State::Idle(_) if self.expires.is_some_and(|at| now >= at) => Some(CloseReason::MaxAge),
             State::Busy
                 if self
                     .response_progress
-                    .is_some_and(|last_progress| expired(last_progress, times::FLOW_STALL)) =>
+                    .is_some_and(|last_progress| expired(last_progress, timeouts::STREAM_STALL_TIMEOUT)) =>
             {
                 Some(CloseReason::ResponseStalled)
             }
@@ -344,13 +344,13 @@
 
     /// Returns the connections to close in favour of waiting ones: for each of these the cheapest to lose, of
     /// the source with most connections that has an evictable one and no fewer connections than the waiting
-    /// one's. To be called for each new connection, and every [`times::EVICTION_INTERVAL`] while any waits.
+    /// one's. To be called for each new connection, and every [`timeouts::EVICTION_INTERVAL`] while any waits.
     pub fn evict_for_waiting(&mut self, now: Instant) -> Vec<u64> {
         let stalled = self.connections.values().filter(|conn| conn.is_stalled(now)).count();
         if 2 * stalled >= self.limits.all {
             // In a flood the connections that replace the evicted ones stall too, which takes a while to
             // show.
-            self.accepts_until = Some(now + times::FIRST_REQUEST_TIMEOUT);
+            self.accepts_until = Some(now + timeouts::FIRST_REQUEST_TIMEOUT);
         }
         std::iter::from_fn(|| self.evict_one(now)).map(|(_, victim)| victim).collect()
     }
@@ -572,7 +572,7 @@
     }
 
     /// The connections that have exceeded a time limit, with the reason. To be called every
-    /// [`times::CHECK_INTERVAL`].
+    /// [`timeouts::CHECK_INTERVAL`].
     pub fn close_expired(&mut self, now: Instant) -> Vec<(u64, CloseReason)> {
         let expired = self.connections.iter().filter(|(_, conn)| !conn.closing);
         let expired: Vec<_> =
@@ -647,7 +647,7 @@
         let (first, second) = (idle(&mut manager, start, 1), idle(&mut manager, start, 1));
         let (head, new) = (connect(&mut manager, start, 1), connect(&mut manager, start, 1));
         manager.on_head_bytes(head, start);
-        let now = start + times::HEAD_EVICTION_AGE;
+        let now = start + timeouts::HEAD_EVICTION_AGE;
         for victim in [new, first, second, head] {
             let (number, admission) = manager.on_connect(now, at(1), |_| false);
             assert_eq!(admission, Admission::Waiting);
@@ -657,7 +657,7 @@
             manager.on_head_complete(number);
         }
         assert_eq!(manager.on_connect(now, at(1), |_| false).1, Admission::Waiting);
-        assert_eq!(manager.evict_for_waiting(now + times::CLIENT_IDLE_TIMEOUT), NONE, "all are busy");
+        assert_eq!(manager.evict_for_waiting(now + timeouts::CLIENT_IDLE_TIMEOUT), NONE, "all are busy");
     }
 
     #[test]
@@ -703,7 +703,7 @@
         let mut manager = ConnectionManager::new(Limits { waiting: 2, ..limits(4) }, 7);
         let stalled: Vec<u64> = (0..4).map(|_| connect(&mut manager, start, 1)).collect();
         stalled.iter().for_each(|number| assert_eq!(manager.on_head_bytes(*number, start), None));
-        let now = start + times::STALL_GRACE;
+        let now = start + timeouts::STALL_GRACE;
         let (sending, silent) = (connect(&mut manager, now, 1), connect(&mut manager, now, 1));
         assert!(
             !manager.should_accept(now),
@@ -720,9 +720,9 @@
             "the newest waiting connection"
         );
         assert_eq!(manager.on_closed(newest + 1), NONE);
-        assert_eq!(manager.evict_for_waiting(start + times::HEAD_EVICTION_AGE), stalled[..2]);
+        assert_eq!(manager.evict_for_waiting(start + timeouts::HEAD_EVICTION_AGE), stalled[..2]);
         assert!(
-            !manager.should_accept(start + times::HEAD_EVICTION_AGE),
+            !manager.should_accept(start + timeouts::HEAD_EVICTION_AGE),
             "connections are being closed for those that wait"
         );
         assert_eq!(manager.on_closed(stalled[0]), [sending]);
@@ -783,8 +783,11 @@
         manager.on_head_complete(stuck);
         manager.on_response_start(stuck, start);
         manager.on_response_progress(stuck, start + Duration::from_secs(1));
-        assert_eq!(manager.close_expired(start + times::FIRST_REQUEST_TIMEOUT - times::LOOK), []);
-        let due = manager.close_expired(start + times::FIRST_REQUEST_TIMEOUT);
+        assert_eq!(
+            manager.close_expired(start + timeouts::FIRST_REQUEST_TIMEOUT - timeouts::CHECK_INTERVAL),
+            []
+        );
+        let due = manager.close_expired(start + timeouts::FIRST_REQUEST_TIMEOUT);
         assert_eq!(
             due,
             [
@@ -793,9 +796,9 @@
                 (stalled_head, CloseReason::HeadTimeout)
             ]
         );
-        assert_eq!(manager.close_expired(start + times::FIRST_REQUEST_TIMEOUT), [], "reported once");
-        assert_eq!(manager.close_expired(start + times::FLOW_STALL), []);
-        let due = manager.close_expired(start + times::FLOW_STALL + Duration::from_secs(1));
+        assert_eq!(manager.close_expired(start + timeouts::FIRST_REQUEST_TIMEOUT), [], "reported once");
+        assert_eq!(manager.close_expired(start + timeouts::STREAM_STALL_TIMEOUT), []);
+        let due = manager.close_expired(start + timeouts::STREAM_STALL_TIMEOUT + Duration::from_secs(1));
         assert_eq!(due, [(stuck, CloseReason::ResponseStalled)]);
         assert_eq!(
             manager.close_expired(start + Duration::from_secs(15)),
@@ -806,7 +809,7 @@
         let mut manager = ConnectionManager::new(limits(10), 7);
         let idle_one = idle(&mut manager, start, 1);
         assert_eq!(
-            manager.close_expired(start + times::CLIENT_IDLE_TIMEOUT),
+            manager.close_expired(start + timeouts::CLIENT_IDLE_TIMEOUT),
             [(idle_one, CloseReason::IdleTimeout)]
         );
     }
@@ -877,7 +880,7 @@
                 assert!(manager.sources.values().all(|source| source.active <= per_source), "seed {seed}");
                 let waiting = manager.connections.iter().filter(|(_, conn)| conn.state == State::Waiting);
                 assert!(
-                    waiting.clone().all(|(n, _)| now - connected_at[n] < times::FIRST_REQUEST_TIMEOUT),
+                    waiting.clone().all(|(n, _)| now - connected_at[n] < timeouts::FIRST_REQUEST_TIMEOUT),
                     "seed {seed}"
                 );
                 let has_capacity = manager.active() < all;
@@ -917,7 +920,7 @@
             let (whole_network, flood_per_ms) = (rng.bool(), rng.usize(1..12));
             let all = rng.usize(8..40);
             let accept_time = Duration::from_millis((BACKLOG / ACCEPTED_PER_MS.min(all)) as u64 + 1);
-            let bound = 2 * (times::STALL_GRACE + times::EVICTION_INTERVAL) + accept_time;
+            let bound = 2 * (timeouts::STALL_GRACE + timeouts::EVICTION_INTERVAL) + accept_time;
             let mut manager =
                 ConnectionManager::new(Limits { waiting: rng.usize(1..=WAITING), ..limits(all) }, seed);
             let (start, quiet) = (Instant::now(), at(1));
@@ -944,7 +947,7 @@
                 let mut to_close =
                     manager.close_expired(now).into_iter().map(|(number, _)| number).collect::<Vec<_>>();
                 let mut admitted = std::mem::take(&mut admitted_later);
-                if ms % times::EVICTION_INTERVAL.as_millis() as u64 == 0 {
+                if ms % timeouts::EVICTION_INTERVAL.as_millis() as u64 == 0 {
                     to_close.extend(manager.evict_for_waiting(now));
                 }
                 for _ in 0..ACCEPTED_PER_MS {
--- a/crates/gatekeeper/src/clients/side.rs
+++ b/crates/gatekeeper/src/clients/side.rs
@@ -7,7 +7,7 @@
 use crate::config::Config;
 use crate::driver::{self, Answer, ClientRequest, Driver};
 use crate::servers::side::Parts;
-use crate::times;
+use crate::timeouts;
 use bytes::Bytes;
 use granitelead_base::linger::Linger;
 use granitelead_base::{decimal, note, set_user_timeout, ACCEPT_PAUSE};
@@ -341,7 +341,7 @@
                 accepted = listener.accept(), if may_accept => accepted,
                 () = self.accepts_changed.notified() => continue,
                 () = self.disconnected.notified(), if !may_accept => continue,
-                () = tokio::time::sleep(times::EVICTION_INTERVAL), if any_waiting => {
+                () = tokio::time::sleep(timeouts::EVICTION_INTERVAL), if any_waiting => {
                     self.evict_for_waiting();
                     continue;
                 }
@@ -387,7 +387,7 @@
     }
 
     /// Closes connections that exceed a time limit, and evicts for waiting ones. To be called every
-    /// [`times::LOOK`].
+    /// [`timeouts::CHECK_INTERVAL`].
     pub fn look(self: &Rc<Self>) {
         let expired = self.manager.borrow_mut().close_expired(now());
         for (number, reason) in expired {
@@ -474,7 +474,7 @@
 
     fn admit(self: &Rc<Self>, number: u64, stream: TcpStream, source: IpAddr) {
         let _ = stream.set_nodelay(true);
-        set_user_timeout(&stream, times::FLOW_STALL, &self.socket_option_errors);
+        set_user_timeout(&stream, timeouts::STREAM_STALL_TIMEOUT, &self.socket_option_errors);
         let client = Rc::new(Client {
             number,
             source,
--- a/crates/gatekeeper/src/lib.rs
+++ b/crates/gatekeeper/src/lib.rs
@@ -18,6 +18,6 @@
 pub mod peers;
 pub mod servers;
 pub mod telemetry;
-pub mod times;
+pub mod timeouts;
 
 pub use lifecycle::run::run;
--- a/crates/gatekeeper/src/lifecycle/run.rs
+++ b/crates/gatekeeper/src/lifecycle/run.rs
@@ -9,7 +9,7 @@
 use crate::operators::by_hand::ByHand;
 use crate::operators::door::Door;
 use crate::peers::Peers;
-use crate::times;
+use crate::timeouts;
 use granitelead_base as base;
 use granitelead_decisions::ListScope;
 use granitelead_list::follower::{Follower, Pace};
@@ -180,7 +180,7 @@
 /// Ends connections that have had their time, on both sides, for ever.
 async fn look_after_connections(side: Rc<ClientSide>, driver: Rc<Driver>) {
     for turn in 1u64.. {
-        tokio::time::sleep(times::LOOK).await;
+        tokio::time::sleep(timeouts::CHECK_INTERVAL).await;
         side.look();
         if turn % RETIRE_EVERY == 0 {
             driver.servers.retire_idle();
--- a/crates/gatekeeper/src/servers/side.rs
+++ b/crates/gatekeeper/src/servers/side.rs
@@ -3,7 +3,7 @@
 use crate::body::{self, read_response_body, BodyError, BufferBudget, OutgoingBody, ReceivedBody, Upload};
 use crate::config::Config;
 use crate::servers::dials::{Ask, Dialed, Dials};
-use crate::times::{FLOW_STALL, SERVER_ACK};
+use crate::timeouts::{SERVER_ACK_TIMEOUT, STREAM_STALL_TIMEOUT};
 use granitelead_base::wire::{Place, Wire, WireIo};
 use granitelead_base::{decimal, note};
 use granitelead_decisions::{Outcome, ServerId};
@@ -368,7 +368,7 @@
             if !self.takes_work(server) {
                 return Outcome::NotSent.into();
             }
-            let ack = if parts.upload().is_some() { FLOW_STALL } else { SERVER_ACK };
+            let ack = if parts.upload().is_some() { STREAM_STALL_TIMEOUT } else { SERVER_ACK_TIMEOUT };
             if std::mem::replace(&mut conn.ack, ack) != ack {
                 conn.wire.set_user_timeout(ack, &self.refused);
             }
@@ -601,7 +601,7 @@
     loop {
         let until = upload
             .completed_at()
-            .map_or(upload.last_progress().max(deadline - time) + FLOW_STALL, |at| at + time);
+            .map_or(upload.last_progress().max(deadline - time) + STREAM_STALL_TIMEOUT, |at| at + time);
         if Instant::now() >= until {
             return;
         }
--- a/crates/gatekeeper/src/times.rs
+++ b/crates/gatekeeper/src/timeouts.rs
@@ -20,8 +20,8 @@
 pub const UPLOAD_STALL_TIMEOUT: Duration = Duration::from_millis(2_300);
 /// How long a server may send nothing of a response that has begun, a client read nothing of it, or sent data
 /// stay unacknowledged by a client.
-pub const FLOW_STALL: Duration = Duration::from_secs(10);
+pub const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long sent data may stay unacknowledged by a server.
-pub const SERVER_ACK: Duration = Duration::from_secs(1);
+pub const SERVER_ACK_TIMEOUT: Duration = Duration::from_secs(1);
 /// The interval at which connections are checked against these limits.
-pub const LOOK: Duration = Duration::from_millis(250);
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(250);
