--- a/crates/gatekeeper/src/clients/side.rs
+++ b/crates/gatekeeper/src/clients/http_server.rs
@@ -71,14 +71,14 @@
 struct ClientIo {
     stream: TcpStream,
     client: Rc<Client>,
-    side: Rc<ClientSide>,
+    http_server: Rc<HttpServer>,
     linger: Option<Linger>,
 }
 
 impl ClientIo {
     fn record_progress(&self, polled: &Poll<io::Result<usize>>) {
         if matches!(polled, Poll::Ready(Ok(_))) && self.client.busy.get() {
-            self.side.manager.borrow_mut().on_response_progress(self.client.number, now());
+            self.http_server.manager.borrow_mut().on_response_progress(self.client.number, now());
         }
     }
 }
@@ -91,7 +91,7 @@
         let read = &buf.filled()[before..];
         if !(this.client.busy.get() || read.is_empty()) {
             if !this.client.reading_head.replace(true) {
-                this.side.on_head_begin(&this.client);
+                this.http_server.on_head_begin(&this.client);
             }
             this.client.framing.borrow_mut().feed(read);
         }
@@ -150,7 +150,7 @@
 }
 
 /// The HTTP server for clients.
-pub struct ClientSide {
+pub struct HttpServer {
     driver: Rc<Driver>,
     names: Names,
     effects: Vec<Effect>,
@@ -167,7 +167,7 @@
     queue_signal: Notify,
     ready: Cell<bool>,
     /// Whether this process accepts connections; `accepts_changed` signals changes.
-    accepts: Cell<bool>,
+    accepting: Cell<bool>,
     retired: Cell<bool>,
     /// Whether the next process has received all state, so that this one may exit.
     may_exit: Cell<bool>,
@@ -180,9 +180,9 @@
     socket_option_errors: Cell<u64>,
 }
 
-impl ClientSide {
+impl HttpServer {
     /// A server without connections, not ready yet.
-    pub fn new(driver: Rc<Driver>, config: &Config) -> Rc<ClientSide> {
+    pub fn new(driver: Rc<Driver>, config: &Config) -> Rc<HttpServer> {
         let waiting = waiting_share(config.clients_max);
         let limits = Limits {
             all: config.clients_max - waiting,
@@ -191,7 +191,7 @@
             heads: config.heads_max,
             max_age: config.max_age,
         };
-        Rc::new(ClientSide {
+        Rc::new(HttpServer {
             driver,
             names: config.names.clone(),
             effects: config.settings.classes.iter().map(|class| class.effect).collect(),
@@ -205,7 +205,7 @@
             queue: RefCell::default(),
             queue_signal: Notify::new(),
             ready: Cell::new(false),
-            accepts: Cell::new(true),
+            accepting: Cell::new(true),
             retired: Cell::new(false),
             may_exit: Cell::new(false),
             accepts_changed: Notify::new(),
@@ -231,8 +231,8 @@
     }
 
     /// Starts or stops accepting connections.
-    pub fn set_accepts(&self, accepts: bool) {
-        self.accepts.set(accepts);
+    pub fn set_accepting(&self, accepting: bool) {
+        self.accepting.set(accepting);
         self.retired.set(false);
         self.may_exit.set(false);
         self.accepts_changed.notify_one();
@@ -247,7 +247,7 @@
     }
 
     /// Allows the process to exit once its last client has disconnected.
-    pub fn let_leave(&self) {
+    pub fn allow_exit(&self) {
         self.may_exit.set(true);
     }
 
@@ -257,17 +257,17 @@
     }
 
     /// The number of client connections, active and waiting.
-    pub fn clients(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.manager.borrow().len()
     }
 
     /// The metrics of client connections.
-    pub fn figures(&self) -> Vec<(String, u64)> {
+    pub fn metrics(&self) -> Vec<(String, u64)> {
         self.manager.borrow().metrics()
     }
 
     /// Returns once the next process has taken over and the last client of this one has disconnected.
-    pub async fn until_left(&self) {
+    pub async fn until_drained(&self) {
         while !self.may_exit.get() || !self.manager.borrow().is_empty() {
             tokio::time::sleep(DRAINED_CHECK_INTERVAL).await;
         }
@@ -276,13 +276,13 @@
     /// Leaves clients to the next process: no connection is accepted any more, and open ones are closed with
     /// their next response, or when idle after `RETIRE_IDLE`.
     pub fn retire(self: &Rc<Self>) {
-        self.set_accepts(false);
+        self.set_accepting(false);
         self.retired.set(true);
-        let side = self.clone();
+        let http_server = self.clone();
         tokio::task::spawn_local(async move {
             tokio::time::sleep(RETIRE_IDLE).await;
-            while side.retired.get() {
-                side.close_idle(false);
+            while http_server.retired.get() {
+                http_server.close_idle(false);
                 tokio::time::sleep(CLOSE_IDLE_INTERVAL).await;
             }
         });
@@ -295,13 +295,13 @@
     }
 
     /// Whether an operator has started an evacuation.
-    pub fn evacuates(&self) -> bool {
+    pub fn is_evacuating(&self) -> bool {
         self.mode.get() == Mode::Evacuating
     }
 
     /// Whether this process accepts clients, also during an evacuation.
-    pub fn takes_clients(&self) -> bool {
-        self.ready.get() && self.accepts.get() && self.mode.get() != Mode::Stopping
+    pub fn accepts_clients(&self) -> bool {
+        self.ready.get() && self.accepting.get() && self.mode.get() != Mode::Stopping
     }
 
     /// Moves clients to other gatekeepers without aborting requests: new connections serve one request, idle
@@ -312,11 +312,11 @@
         }
         self.mode.set(Mode::Evacuating);
         self.evacuations.set(self.evacuations.get() + 1);
-        let (side, this) = (self.clone(), self.evacuations.get());
+        let (http_server, this) = (self.clone(), self.evacuations.get());
         tokio::task::spawn_local(async move {
             tokio::time::sleep(EVACUATE_IDLE).await;
-            while side.mode.get() == Mode::Evacuating && side.evacuations.get() == this {
-                side.close_idle(false);
+            while http_server.mode.get() == Mode::Evacuating && http_server.evacuations.get() == this {
+                http_server.close_idle(false);
                 tokio::time::sleep(CLOSE_IDLE_INTERVAL).await;
             }
         });
@@ -332,7 +332,7 @@
     /// Accepts connections for ever.
     pub async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         loop {
-            while !self.accepts.get() {
+            while !self.accepting.get() {
                 self.accepts_changed.notified().await;
             }
             let may_accept = self.manager.borrow_mut().should_accept(now());
@@ -351,7 +351,7 @@
                 // Out of file descriptors, or the client has already gone: neither may stop the gatekeeper.
                 Err(e) => {
                     note(&self.accept_errors, format_args!("accept: {e}"));
-                    self.shed();
+                    self.evict_for_descriptors();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -380,7 +380,7 @@
     }
 
     /// Evicts a connection, if one can be, because the process is out of file descriptors.
-    pub fn shed(&self) {
+    pub fn evict_for_descriptors(&self) {
         if let Some(number) = self.manager.borrow_mut().evict_for_descriptors(now()) {
             self.close(number, CloseReason::Evicted);
         }
@@ -388,7 +388,7 @@
 
     /// Closes connections that exceed a time limit, and evicts for waiting ones. To be called every
     /// [`timeouts::CHECK_INTERVAL`].
-    pub fn look(self: &Rc<Self>) {
+    pub fn check_connections(self: &Rc<Self>) {
         let expired = self.manager.borrow_mut().close_expired(now());
         for (number, reason) in expired {
             self.close(number, reason);
@@ -419,7 +419,7 @@
 
     /// Starts queued requests for ever, one of each network a round; yields between rounds so that more
     /// requests can be read.
-    pub async fn take_turns(self: Rc<Self>) {
+    pub async fn run_queue(self: Rc<Self>) {
         loop {
             self.queue_signal.notified().await;
             loop {
@@ -488,47 +488,47 @@
             close_now: Notify::new(),
         });
         self.clients.borrow_mut().insert(number, client.clone());
-        let side = self.clone();
+        let http_server = self.clone();
         tokio::task::spawn_local(async move {
-            side.serve(stream, &client).await;
-            side.clients.borrow_mut().remove(&number);
-            let admitted = side.manager.borrow_mut().on_closed(number);
+            http_server.serve(stream, &client).await;
+            http_server.clients.borrow_mut().remove(&number);
+            let admitted = http_server.manager.borrow_mut().on_closed(number);
             for number in admitted {
-                let waiting = side.waiting.borrow_mut().remove(&number);
+                let waiting = http_server.waiting.borrow_mut().remove(&number);
                 if let Some((stream, from)) = waiting {
-                    side.admit(number, stream, from);
+                    http_server.admit(number, stream, from);
                 }
             }
-            side.disconnected.notify_one();
+            http_server.disconnected.notify_one();
         });
     }
 
     async fn serve(self: &Rc<Self>, stream: TcpStream, client: &Rc<Client>) {
         let number = client.number;
         let service = service_fn(|request| {
-            let (side, client) = (self.clone(), client.clone());
+            let (http_server, client) = (self.clone(), client.clone());
             client.busy.set(true);
             client.reading_head.set(false);
-            side.manager.borrow_mut().on_head_complete(number);
+            http_server.manager.borrow_mut().on_head_complete(number);
             let framing = client.framing.take();
             async move {
-                let mut answer = side.answer(request, &client, framing.conflicts()).await;
-                let past_max_age = side.manager.borrow().is_past_max_age(number, now());
-                if past_max_age || side.mode.get() != Mode::Serving || side.retired.get() {
+                let mut answer = http_server.answer(request, &client, framing.conflicts()).await;
+                let past_max_age = http_server.manager.borrow().is_past_max_age(number, now());
+                if past_max_age || http_server.mode.get() != Mode::Serving || http_server.retired.get() {
                     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
-                side.manager.borrow_mut().on_response_start(number, now());
+                http_server.manager.borrow_mut().on_response_start(number, now());
                 answer.body_mut().on_drop(move || {
                     client.busy.set(false);
-                    side.manager.borrow_mut().on_response_complete(number, now());
+                    http_server.manager.borrow_mut().on_response_complete(number, now());
                     // Waiting connections may have found no idle one to evict; now there is one.
-                    side.evict_for_waiting();
-                    side.disconnected.notify_one();
+                    http_server.evict_for_waiting();
+                    http_server.disconnected.notify_one();
                 });
                 Ok::<_, Infallible>(answer)
             }
         });
-        let io = ClientIo { stream, client: client.clone(), side: self.clone(), linger: None };
+        let io = ClientIo { stream, client: client.clone(), http_server: self.clone(), linger: None };
         let connection = hyper::server::conn::http1::Builder::new()
             .header_read_timeout(None)
             .half_close(self.half_close)
--- a/crates/gatekeeper/src/clients/mod.rs
+++ b/crates/gatekeeper/src/clients/mod.rs
@@ -4,4 +4,4 @@
 pub mod connections;
 pub mod fair_queue;
 pub mod framing;
-pub mod side;
+pub mod http_server;
--- a/crates/gatekeeper/src/lifecycle/handover.rs
+++ b/crates/gatekeeper/src/lifecycle/handover.rs
@@ -1,7 +1,7 @@
 //! An upgrade: the new process of this gatekeeper finds the old one by a Unix socket, is passed its listening
 //! socket and what it knows, and takes its place.
 
-use crate::clients::side::ClientSide;
+use crate::clients::http_server::HttpServer;
 use crate::driver::Driver;
 use crate::list::Book;
 use crate::operators::by_hand::ByHand;
@@ -146,7 +146,7 @@
 /// One process's part in an upgrade.
 pub struct Upgrade {
     driver: Rc<Driver>,
-    side: Rc<ClientSide>,
+    side: Rc<HttpServer>,
     book: Rc<Book>,
     by_hand: Rc<ByHand>,
     clients_max: usize,
@@ -158,7 +158,7 @@
     /// The limits are those of the gatekeeper, however many processes it has.
     pub fn new(
         driver: Rc<Driver>,
-        side: Rc<ClientSide>,
+        side: Rc<HttpServer>,
         book: Rc<Book>,
         by_hand: Rc<ByHand>,
         (clients_max, servers_max): (usize, usize),
@@ -189,7 +189,7 @@
             Err(_) => eprintln!("granitelead: taken over without what was known: no answer in time"),
         }
         self.by_hand.follow();
-        self.side.set_accepts(true);
+        self.side.set_accepting(true);
         let upgrade = self.clone();
         tokio::task::spawn_local(async move {
             // Until the old process has ended, which closes the connection.
@@ -241,7 +241,7 @@
         self.side.retire();
         let known = Knowledge {
             names: self.book.names(),
-            evacuates: self.side.evacuates(),
+            evacuates: self.side.is_evacuating(),
             handover: self.driver.hand_over(),
         };
         eprintln!("granitelead: handed over");
@@ -250,7 +250,7 @@
         self.driver.carry_on();
         self.side.set_clients_max(self.clients_max);
         self.driver.servers.set_most(self.servers_max);
-        self.side.set_accepts(true);
+        self.side.set_accepting(true);
         told
     }
 
@@ -261,13 +261,13 @@
         write: &mut OwnedWriteHalf,
     ) -> io::Result<()> {
         say(write, known).await?;
-        self.side.let_leave();
+        self.side.allow_exit();
         loop {
             self.by_hand.follow();
             self.side.set_clients_max(self.clients_max / 2);
             // What is out finishes; the rest is the new process's.
             self.driver.servers.set_most((self.servers_max / 4).max(1));
-            let held = Held { clients: self.side.clients(), servers: self.driver.servers.open() };
+            let held = Held { clients: self.side.connection_count(), servers: self.driver.servers.open() };
             say(write, &held).await?;
             if let Ok(ended) = timeout(TELL, read.read_u8()).await {
                 return ended.map(drop);
--- a/crates/gatekeeper/src/lifecycle/run.rs
+++ b/crates/gatekeeper/src/lifecycle/run.rs
@@ -1,6 +1,6 @@
 //! One gatekeeper: reads its configuration, serves until told to stop, and exits when all is answered.
 
-use crate::clients::side::ClientSide;
+use crate::clients::http_server::HttpServer;
 use crate::config::Config;
 use crate::driver::Driver;
 use crate::events::Own;
@@ -57,7 +57,7 @@
     let door = operators_listener(config.admin).await?;
 
     let driver = Driver::new(&config);
-    let side = ClientSide::new(driver.clone(), &config);
+    let side = HttpServer::new(driver.clone(), &config);
     let book = Rc::new(Book::default());
     let by_hand = ByHand::new(driver.clone(), book.clone(), folder.as_deref());
     let limits = (config.clients_max, config.servers_max);
@@ -71,14 +71,14 @@
     let discovery = follow_list(&config, &driver, &side, book);
     spawn_local(keep_counter(driver.clone()));
     spawn_local(reload(hangup, discovery, driver.clone()));
-    spawn_local(side.clone().take_turns());
+    spawn_local(side.clone().run_queue());
     spawn_local(look_after_connections(side.clone(), driver.clone()));
-    side.set_accepts(predecessor.is_none());
+    side.set_accepting(predecessor.is_none());
     let upgrades = spawn_local(upgrade_both_ways(upgrade, predecessor, listener.clone(), place));
 
     tokio::select! {
         () = side.accept(&listener) => {}
-        () = side.until_left() => {}
+        () = side.until_drained() => {}
         _ = term.recv() => {}
     }
     driver.says.says(&Own::Stops);
@@ -132,7 +132,7 @@
 fn follow_list(
     config: &Config,
     driver: &Rc<Driver>,
-    side: &Rc<ClientSide>,
+    side: &Rc<HttpServer>,
     book: Rc<Book>,
 ) -> watch::Sender<Vec<SocketAddr>> {
     let (discovery, places) = watch::channel(config.discovery.clone());
@@ -178,10 +178,10 @@
 }
 
 /// Ends connections that have had their time, on both sides, for ever.
-async fn look_after_connections(side: Rc<ClientSide>, driver: Rc<Driver>) {
+async fn look_after_connections(side: Rc<HttpServer>, driver: Rc<Driver>) {
     for turn in 1u64.. {
         tokio::time::sleep(timeouts::CHECK_INTERVAL).await;
-        side.look();
+        side.check_connections();
         if turn % RETIRE_EVERY == 0 {
             driver.servers.retire_idle();
         }
--- a/crates/gatekeeper/src/operators/door.rs
+++ b/crates/gatekeeper/src/operators/door.rs
@@ -1,6 +1,6 @@
 //! The operators' door: one line a connection, one answer, and the connection is closed.
 
-use crate::clients::side::ClientSide;
+use crate::clients::http_server::HttpServer;
 use crate::config::CALLERS_MAX;
 use crate::events::Own;
 use crate::operators::by_hand::ByHand;
@@ -48,7 +48,7 @@
 
 /// What operators call on.
 pub struct Door {
-    side: Rc<ClientSide>,
+    side: Rc<HttpServer>,
     by_hand: Rc<ByHand>,
     peers: Option<Rc<Peers>>,
     callers: RefCell<VecDeque<(u64, Rc<Notify>)>>,
@@ -58,7 +58,7 @@
 
 impl Door {
     /// A door to this gatekeeper.
-    pub fn new(side: Rc<ClientSide>, by_hand: Rc<ByHand>, peers: Option<Rc<Peers>>) -> Rc<Door> {
+    pub fn new(side: Rc<HttpServer>, by_hand: Rc<ByHand>, peers: Option<Rc<Peers>>) -> Rc<Door> {
         let callers = RefCell::default();
         Rc::new(Door { side, by_hand, peers, callers, next: Cell::new(0), odd: Cell::new(0) })
     }
@@ -70,7 +70,7 @@
                 Ok((stream, _)) => self.admit(stream),
                 Err(e) => {
                     note(&self.odd, format_args!("operators' door: {e}"));
-                    self.side.shed();
+                    self.side.evict_for_descriptors();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -122,10 +122,10 @@
 
     fn carry_out(&self, call: Call) -> String {
         match call {
-            Call::Ready if self.side.takes_clients() => "YES\n".into(),
+            Call::Ready if self.side.accepts_clients() => "YES\n".into(),
             Call::Ready => "NO not yet\n".into(),
             Call::Telemetry => {
-                let mut figures = self.side.figures();
+                let mut figures = self.side.metrics();
                 figures.extend(self.peers.iter().flat_map(|peers| peers.figures()));
                 self.by_hand.driver.report(figures) + "END\n"
             }
