--- a/crates/gatekeeper/src/driver.rs
+++ b/crates/gatekeeper/src/driver.rs
@@ -113,7 +113,7 @@
     /// The memory budget of buffered bodies.
     pub buffer_budget: BufferBudget,
     /// The log of this gatekeeper's own state changes.
-    pub says: Events,
+    pub events: Events,
     gatekeeper: RefCell<Gatekeeper>,
     clock: Clock,
     pending: RefCell<HashMap<RequestId, PendingRequest>>,
@@ -134,7 +134,7 @@
             listing: Listing::new(),
             telemetry,
             buffer_budget,
-            says: config.events,
+            events: config.events,
             counter: Counter::new(config.counter, settings.counter_timeout, config.seed),
             gatekeeper: RefCell::new(Gatekeeper::new(settings, config.seed, clock.now())),
             clock,
@@ -269,25 +269,25 @@
     }
 
     /// Excludes a server by an operator's call, or includes it again; in effect once this returns.
-    pub fn by_hand(self: &Rc<Self>, server: ServerId, out: bool) {
-        self.servers.set_left_out(server, out);
-        self.feed(Event::ByHand { server, out });
-        self.recall_unwritten();
+    pub fn set_excluded(self: &Rc<Self>, server: ServerId, excluded: bool) {
+        self.servers.set_left_out(server, excluded);
+        self.feed(Event::ByHand { server, out: excluded });
+        self.cancel_unsent();
     }
 
     /// Cancels attempts that wait for a connection to a server that takes no more work. Once a drain is known
     /// no new request may be sent, and a connect that hangs would only delay the request.
-    pub fn recall_unwritten(self: &Rc<Self>) {
-        let mut recalled = Vec::new();
+    pub fn cancel_unsent(self: &Rc<Self>) {
+        let mut cancelled = Vec::new();
         for (id, pending) in self.pending.borrow().iter() {
             for (n, running) in pending.attempts.iter().enumerate() {
                 if running.as_ref().is_some_and(|r| r.progress.waits() && !self.servers.takes_work(r.server))
                 {
-                    recalled.push((id.clone(), n));
+                    cancelled.push((id.clone(), n));
                 }
             }
         }
-        recalled.iter().for_each(|(id, n)| self.cancel(id, *n));
+        cancelled.iter().for_each(|(id, n)| self.cancel(id, *n));
     }
 
     fn report_attempt_end(
@@ -374,7 +374,7 @@
     }
 
     /// Resumes after a handover to a process that has ended.
-    pub fn carry_on(&self) {
+    pub fn resume(&self) {
         self.gatekeeper.borrow_mut().carry_on(self.clock.now());
     }
 
--- a/crates/gatekeeper/src/lifecycle/handover.rs
+++ b/crates/gatekeeper/src/lifecycle/handover.rs
@@ -247,7 +247,7 @@
         eprintln!("granitelead: handed over");
         let told = self.keep_telling(&known, &mut read, &mut write).await;
         // Only its end ends this: the gatekeeper is this process again.
-        self.driver.carry_on();
+        self.driver.resume();
         self.side.set_clients_max(self.clients_max);
         self.driver.servers.set_most(self.servers_max);
         self.side.set_accepting(true);
--- a/crates/gatekeeper/src/lifecycle/run.rs
+++ b/crates/gatekeeper/src/lifecycle/run.rs
@@ -81,9 +81,9 @@
         () = side.until_drained() => {}
         _ = term.recv() => {}
     }
-    driver.says.says(&Own::Stops);
+    driver.events.says(&Own::Stops);
     if let Some(peers) = peers {
-        peers.leaves().await;
+        peers.announce_leave().await;
     }
     if !side.is_retired() {
         // The listening socket closes with its last user, and is not to be passed on any more.
@@ -151,9 +151,9 @@
     spawn_local(follow(driver, book, follower, places, move || {
         side.set_ready();
         let (rev, epoch) = (told.listing.rev.get(), told.listing.epoch.get());
-        told.says.says(&Own::List { rev, epoch });
+        told.events.says(&Own::List { rev, epoch });
         if !ready.replace(true) {
-            told.says.says(&Own::Ready);
+            told.events.says(&Own::Ready);
         }
     }));
     discovery
--- a/crates/gatekeeper/src/list.rs
+++ b/crates/gatekeeper/src/list.rs
@@ -59,7 +59,7 @@
             self.ids.borrow_mut().retain(|_, id| driver.servers.keeps(*id));
         }
         driver.feed(Event::Servers(ServerList { scope, servers }));
-        driver.recall_unwritten();
+        driver.cancel_unsent();
     }
 
     fn server(&self, driver: &Driver, target: &Target) -> ServerInfo {
--- a/crates/gatekeeper/src/operators/by_hand.rs
+++ b/crates/gatekeeper/src/operators/by_hand.rs
@@ -42,9 +42,9 @@
             true => self.names.borrow_mut().insert(uid.to_owned()),
             false => self.names.borrow_mut().remove(uid),
         };
-        self.driver.by_hand(id, out);
+        self.driver.set_excluded(id, out);
         if changed {
-            self.driver.says.says(&Own::ByHand { server: uid, out });
+            self.driver.events.says(&Own::ByHand { server: uid, out });
             eprintln!("granitelead: {uid} {}", if out { "left out" } else { "put back" });
             if let Err(e) = self.keep() {
                 note(&self.odd, format_args!("left out until this process ends only: {e}"));
@@ -67,8 +67,8 @@
         match read(place) {
             Ok(kept) => {
                 let names = self.names.replace(kept.clone());
-                names.difference(&kept).for_each(|uid| self.driver.by_hand(self.book.id(uid), false));
-                kept.difference(&names).for_each(|uid| self.driver.by_hand(self.book.id(uid), true));
+                names.difference(&kept).for_each(|uid| self.driver.set_excluded(self.book.id(uid), false));
+                kept.difference(&names).for_each(|uid| self.driver.set_excluded(self.book.id(uid), true));
             }
             Err(e) if e.kind() == io::ErrorKind::NotFound => {}
             Err(e) => note(&self.odd, format_args!("{}: {e}", place.display())),
--- a/crates/gatekeeper/src/operators/door.rs
+++ b/crates/gatekeeper/src/operators/door.rs
@@ -126,7 +126,7 @@
             Call::Ready => "NO not yet\n".into(),
             Call::Telemetry => {
                 let mut figures = self.side.metrics();
-                figures.extend(self.peers.iter().flat_map(|peers| peers.figures()));
+                figures.extend(self.peers.iter().flat_map(|peers| peers.metrics()));
                 self.by_hand.driver.report(figures) + "END\n"
             }
             Call::Exclude(uid) if self.by_hand.set(&uid, true) => "YES\n".into(),
@@ -134,12 +134,12 @@
             Call::Exclude(_) | Call::Include(_) => "NO never listed\n".into(),
             Call::Evacuate => {
                 self.side.evacuate();
-                self.by_hand.driver.says.says(&Own::Evacuates);
+                self.by_hand.driver.events.says(&Own::Evacuates);
                 "YES\n".into()
             }
             Call::Activate => {
                 self.side.activate();
-                self.by_hand.driver.says.says(&Own::Activates);
+                self.by_hand.driver.events.says(&Own::Activates);
                 "YES\n".into()
             }
         }
--- a/crates/gatekeeper/src/peers.rs
+++ b/crates/gatekeeper/src/peers.rs
@@ -120,17 +120,17 @@
     }
 
     /// Notifies some of the others that this process is ending.
-    pub async fn leaves(&self) {
+    pub async fn announce_leave(&self) {
         let now = self.now();
         self.members.borrow_mut().leaves(now);
         self.flush().await;
     }
 
     /// The membership metrics.
-    pub fn figures(&self) -> Vec<(String, u64)> {
+    pub fn metrics(&self) -> Vec<(String, u64)> {
         let members = self.members.borrow();
         let states = ["alive", "doubted", "dead", "unknown"].into_iter().zip(members.count());
-        let mut figures: Vec<(String, u64)> =
+        let mut metrics: Vec<(String, u64)> =
             states.map(|(state, n)| (format!("members{{state=\"{state}\"}}"), n as u64)).collect();
         let counts =
             [("sent", self.sent.get()), ("unsent", self.unsent.get()), ("taken", self.received.get())];
@@ -143,7 +143,7 @@
         ]
         .map(|(label, reason)| (label, dropped.get(&reason).copied().unwrap_or(0)));
         let all = counts.into_iter().chain(drops).chain([("senseless", members.refused())]);
-        figures.extend(all.map(|(label, n)| (format!("peer_datagrams{{what=\"{label}\"}}"), n)));
-        figures
+        metrics.extend(all.map(|(label, n)| (format!("peer_datagrams{{what=\"{label}\"}}"), n)));
+        metrics
     }
 }
