--- a/crates/common/src/command.rs
+++ b/crates/common/src/command.rs
@@ -1,14 +1,14 @@
-//! What the programs of the system share of their start.
+//! Startup code that the programs of the system share: the command line, the log and the settings.
 
 use crate::{logs, settings};
 use std::process::ExitCode;
 
-/// Exit status for a command line or a settings file that can't be used.
-pub const UNUSABLE: u8 = 2;
+/// Exit status for an invalid command line or settings file.
+pub const EXIT_INVALID_INPUT: u8 = 2;
 
-/// Reads the command line of a program that takes no arguments but these. Gives the exit status where that is all
-/// there is to do.
-pub fn options(program: &str, help: &str) -> Option<ExitCode> {
+/// Parses the command line of a program that takes only `--help` and `--version`. Returns the exit status if
+/// the program is to end, and `None` if it is to run.
+pub fn parse_command_line(program: &str, help: &str) -> Option<ExitCode> {
     let mut arguments = pico_args::Arguments::from_env();
     if arguments.contains(["-h", "--help"]) {
         println!("{help}");
@@ -22,19 +22,19 @@
     if rest.is_empty() {
         return None;
     }
-    eprintln!("{program}: {rest:?}: not known; --help tells what is");
-    Some(ExitCode::from(UNUSABLE))
+    eprintln!("{program}: unknown arguments {rest:?}; see --help");
+    Some(ExitCode::from(EXIT_INVALID_INPUT))
 }
 
 /// Starts the log and reads the settings.
 ///
 /// # Errors
 ///
-/// The exit status, once one message has named every faulty field.
-pub fn begin(program: &str) -> Result<settings::Settings, ExitCode> {
+/// The exit status, after a message that names every invalid field has been printed.
+pub fn initialize(program: &str) -> Result<settings::Settings, ExitCode> {
     logs::start();
-    settings::load().map_err(|faults| {
-        eprintln!("{program}: settings: {faults}");
-        ExitCode::from(UNUSABLE)
+    settings::load().map_err(|errors| {
+        eprintln!("{program}: settings: {errors}");
+        ExitCode::from(EXIT_INVALID_INPUT)
     })
 }
--- a/crates/common/src/configuration.rs
+++ b/crates/common/src/configuration.rs
@@ -1,104 +1,104 @@
-//! Configurations as operators send them: read and checked whole.
+//! Parses and validates the configurations that operators send.
 
-use crate::paths::{At, Faults};
+use crate::validation::{Cursor, ValidationErrors};
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// A target that is so far above its route's time-out is no target.
-const TARGET_OVER: Duration = Duration::from_secs(60);
-/// Largest configuration that is read, bytes.
+/// A latency target that exceeds the timeout of its route by this much is rejected.
+const TARGET_EXCESS_MAX: Duration = Duration::from_secs(60);
+/// Largest configuration that is accepted, bytes.
 pub const BODY_MAX: usize = 8 << 20;
 
-/// A configuration's number; the highest holds.
+/// The version of a configuration; the highest is in force.
 pub type Version = u32;
 
-/// What a client may send, and how long it may take or stay idle.
+/// Limits on what a client sends, how long it takes and how long it stays idle.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Bytes of a head.
-    pub head: usize,
-    /// Bytes of a body.
-    pub body: u64,
-    /// Time for a head to come.
-    pub head_time: Duration,
-    /// Time that a connection may be idle.
-    pub idle_time: Duration,
+    /// Maximum size of the header section of a request, bytes.
+    pub max_header_bytes: usize,
+    /// Maximum size of the body of a request, bytes.
+    pub max_body_bytes: u64,
+    /// Time limit for receiving the header section of a request.
+    pub header_timeout: Duration,
+    /// How long a connection may be idle.
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        let (head_time, idle_time) = (Duration::from_secs(3), Duration::from_secs(15));
-        Limits { head: 16 << 10, body: 64 << 20, head_time, idle_time }
+        let (header_timeout, idle_timeout) = (Duration::from_secs(3), Duration::from_secs(15));
+        Limits { max_header_bytes: 16 << 10, max_body_bytes: 64 << 20, header_timeout, idle_timeout }
     }
 }
 
-/// Whose requests are counted together.
+/// A tenant, whose requests share a quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, which servers are told.
+    /// Its name, which is passed on to servers.
     pub name: String,
-    /// Its rank, 0 being the highest; without one the route's holds.
+    /// Its priority, 0 being the highest. Without one that of the route applies.
     pub priority: Option<u32>,
-    /// Requests a second over all gatekeepers; 0 means no limit.
+    /// Quota over all gatekeepers, requests/s; 0 means no limit.
     pub rate: f64,
-    /// Requests on top.
+    /// Burst size, requests.
     pub burst: f64,
 }
 
-/// What may be done with a request more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
-    /// It may run more than once.
-    Safe,
-    /// It may run once at most.
-    Once,
+pub enum RetrySafety {
+    /// It may be executed more than once.
+    Idempotent,
+    /// It may be executed at most once.
+    AtMostOnce,
 }
 
-/// A rule that sends requests to servers.
+/// A rule that forwards requests to servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// The beginning of its paths.
+    /// The prefix of the paths that it matches.
     pub prefix: String,
-    /// Whether its requests may be repeated.
-    pub repeats: Repeats,
-    /// An answer within this time has its full worth.
+    /// Whether its requests may be executed more than once.
+    pub retry_safety: RetrySafety,
+    /// Latency target: a response within this time has its full value.
     pub target: Duration,
-    /// The longest that it may be held.
+    /// Time limit for a request.
     pub timeout: Duration,
-    /// To how many servers one request may be sent.
+    /// Maximum number of attempts for a request, including the first.
     pub attempts: u32,
-    /// Its rank, 0 being the highest.
+    /// Its priority, 0 being the highest.
     pub priority: u32,
-    /// Whether it is served without a key.
+    /// Whether requests are accepted without an API key.
     pub public: bool,
-    /// Services by their place in [`Configuration::services`], with weights.
+    /// Services by their index in [`Configuration::services`], with weights.
     pub split: Vec<(usize, f64)>,
 }
 
-/// Servers that do the same work.
+/// A group of servers that process the same requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name, which servers give.
+    /// Its name, with which servers register.
     pub name: String,
-    /// Connections that each of its servers accepts.
+    /// Maximum number of connections to each of its servers.
     pub connections: u64,
 }
 
-/// A configuration that is valid.
+/// A valid configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Its number.
+    /// Its version.
     pub version: Version,
-    /// Bounds for clients.
+    /// Limits for clients.
     pub limits: Limits,
-    /// Whether requests must carry a key.
-    pub keyed: bool,
+    /// Whether requests must carry an API key.
+    pub requires_key: bool,
     /// Tenants, in the order of the configuration.
     pub tenants: Vec<Tenant>,
-    /// From key to tenant.
+    /// Maps API keys to tenants.
     pub keys: HashMap<String, usize>,
     /// Routes by host, the longest prefix first.
     pub hosts: HashMap<String, Vec<Route>>,
@@ -107,7 +107,7 @@
 }
 
 impl Configuration {
-    /// The route of a request: of those of the host the one with the longest prefix that begins the path.
+    /// Finds the route of a request: the one of the host with the longest prefix that matches the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.hosts.get(host) {
@@ -118,98 +118,98 @@
     }
 }
 
-/// Reads a version: eight hexadecimal digits.
+/// Parses a version of eight hexadecimal digits.
 pub fn version(text: &str) -> Option<Version> {
-    let plain = text.len() == 8 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    Version::from_str_radix(text, 16).ok().filter(|_| plain)
+    let is_hex = text.len() == 8 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    Version::from_str_radix(text, 16).ok().filter(|_| is_hex)
 }
 
-/// Reads a configuration from its bytes and checks it whole.
+/// Parses and validates a configuration.
 ///
 /// # Errors
 ///
-/// Every fault, by its path.
-pub fn parse(bytes: &[u8]) -> Result<Configuration, Faults> {
+/// All errors, with their paths.
+pub fn parse(bytes: &[u8]) -> Result<Configuration, ValidationErrors> {
     if bytes.len() > BODY_MAX {
-        return Err(Faults::whole(format_args!("{} bytes are more than {BODY_MAX}", bytes.len())));
+        return Err(ValidationErrors::root(format_args!("{} bytes are more than {BODY_MAX}", bytes.len())));
     }
-    let value: Value = serde_json::from_slice(bytes).map_err(Faults::whole)?;
+    let value: Value = serde_json::from_slice(bytes).map_err(ValidationErrors::root)?;
     check(&value)
 }
 
-/// Checks a configuration.
+/// Validates a configuration.
 ///
 /// # Errors
 ///
-/// Every fault, by its path.
-pub fn check(value: &Value) -> Result<Configuration, Faults> {
-    let at = At::whole(value);
+/// All errors, with their paths.
+pub fn check(value: &Value) -> Result<Configuration, ValidationErrors> {
+    let at = Cursor::root(value);
     let read = Configuration {
         version: version(at.field("version").text()).unwrap_or_else(|| {
-            at.field("version").wrong("eight hexadecimal digits are expected");
+            at.field("version").add_error("eight hexadecimal digits are expected");
             0
         }),
         limits: limits(&at.field("limits")),
         ..Configuration::default()
     };
-    let (keyed, tenants, keys) = tenants(&at.field("tenants"));
-    let (services, places) = services(&at.field("upstream-clusters"));
-    let hosts = hosts(&at.field("listeners"), &places);
-    at.judge(Configuration { keyed, tenants, keys, hosts, services, ..read })
+    let (requires_key, tenants, keys) = tenants(&at.field("tenants"));
+    let (services, service_indices) = services(&at.field("upstream-clusters"));
+    let hosts = hosts(&at.field("listeners"), &service_indices);
+    at.finish(Configuration { requires_key, tenants, keys, hosts, services, ..read })
 }
 
-fn limits(at: &At) -> Limits {
-    let otherwise = Limits::default();
-    let time = |at: At, otherwise| at.or(otherwise, |at| Duration::from_millis(at.whole_number()));
-    let size = |at: At, otherwise| at.or(otherwise, At::whole_number);
+fn limits(at: &Cursor) -> Limits {
+    let default = Limits::default();
+    let time = |at: Cursor, default| at.optional(default, |at| Duration::from_millis(at.integer()));
+    let size = |at: Cursor, default| at.optional(default, Cursor::integer);
     Limits {
-        head: size(at.field("max-header-bytes"), otherwise.head as u64) as usize,
-        body: size(at.field("max-body-bytes"), otherwise.body),
-        head_time: time(at.field("header-timeout-ms"), otherwise.head_time),
-        idle_time: time(at.field("idle-timeout-ms"), otherwise.idle_time),
+        max_header_bytes: size(at.field("max-header-bytes"), default.max_header_bytes as u64) as usize,
+        max_body_bytes: size(at.field("max-body-bytes"), default.max_body_bytes),
+        header_timeout: time(at.field("header-timeout-ms"), default.header_timeout),
+        idle_timeout: time(at.field("idle-timeout-ms"), default.idle_timeout),
     }
 }
 
 type Tenants = (bool, Vec<Tenant>, HashMap<String, usize>);
 
-fn tenants(at: &At) -> Tenants {
+fn tenants(at: &Cursor) -> Tenants {
     let (mut tenants, mut keys) = (Vec::new(), HashMap::new());
     let mut names = BTreeMap::new();
-    for (n, tenant) in at.or(Vec::new(), At::list).iter().enumerate() {
+    for (n, tenant) in at.optional(Vec::new(), Cursor::list).iter().enumerate() {
         let name = tenant.field("name").name();
         if names.insert(name, n).is_some() && !name.is_empty() {
-            tenant.field("name").wrong("another tenant has this name");
+            tenant.field("name").add_error("another tenant has this name");
         }
-        for key in tenant.field("api-keys").or(Vec::new(), At::list) {
+        for key in tenant.field("api-keys").optional(Vec::new(), Cursor::list) {
             let text = key.name();
             if keys.insert(text.to_owned(), n).is_some_and(|other| other != n) {
-                key.wrong("another tenant holds this key");
+                key.add_error("another tenant holds this key");
             }
         }
         tenants.push(Tenant {
             name: name.to_owned(),
-            priority: tenant.field("priority").or(None, |at| Some(at.whole_number() as u32)),
-            rate: tenant.field("requests-per-s").or(0.0, At::number),
-            burst: tenant.field("burst-size").or(0.0, At::number),
+            priority: tenant.field("priority").optional(None, |at| Some(at.integer() as u32)),
+            rate: tenant.field("requests-per-s").optional(0.0, Cursor::number),
+            burst: tenant.field("burst-size").optional(0.0, Cursor::number),
         });
     }
     (!tenants.is_empty(), tenants, keys)
 }
 
-fn services<'v>(at: &At<'v>) -> (Vec<Service>, BTreeMap<&'v str, usize>) {
-    let (mut services, mut places) = (Vec::new(), BTreeMap::new());
+fn services<'v>(at: &Cursor<'v>) -> (Vec<Service>, BTreeMap<&'v str, usize>) {
+    let (mut services, mut indices) = (Vec::new(), BTreeMap::new());
     for service in at.list() {
         let name = service.field("name").name();
-        if places.insert(name, services.len()).is_some() && !name.is_empty() {
-            service.field("name").wrong("another service has this name");
+        if indices.insert(name, services.len()).is_some() && !name.is_empty() {
+            service.field("name").add_error("another service has this name");
         }
-        let connections = service.field("connection-limit").or(u64::MAX, At::whole_number);
+        let connections = service.field("connection-limit").optional(u64::MAX, Cursor::integer);
         services.push(Service { name: name.to_owned(), connections });
     }
-    (services, places)
+    (services, indices)
 }
 
-fn hosts(at: &At, services: &BTreeMap<&str, usize>) -> HashMap<String, Vec<Route>> {
+fn hosts(at: &Cursor, services: &BTreeMap<&str, usize>) -> HashMap<String, Vec<Route>> {
     let mut hosts: HashMap<String, Vec<Route>> = HashMap::new();
     for listener in at.list() {
         let host = listener.field("host-name").name().to_ascii_lowercase();
@@ -219,7 +219,7 @@
             if routes.iter().any(|other| other.prefix == route.prefix) {
                 rule.field("match-conditions")
                     .field("path-prefix")
-                    .wrong("another route has this host and prefix");
+                    .add_error("another route has this host and prefix");
             }
             routes.push(route);
         }
@@ -230,60 +230,60 @@
     hosts
 }
 
-fn route(rule: &At, services: &BTreeMap<&str, usize>) -> Route {
+fn route(rule: &Cursor, services: &BTreeMap<&str, usize>) -> Route {
     let prefix = rule.field("match-conditions").field("path-prefix");
     let path = prefix.text();
     if !(path.starts_with('/') && path.ends_with('/')) {
-        prefix.wrong("a prefix begins and ends with a slash");
+        prefix.add_error("a prefix begins and ends with a slash");
     }
     let action = rule.field("route-action");
-    let service = |at: At| {
+    let service = |at: Cursor| {
         let name = at.name();
-        let place = services.get(name).copied();
-        if place.is_none() && !name.is_empty() {
-            at.wrong("no service has this name");
+        let index = services.get(name).copied();
+        if index.is_none() && !name.is_empty() {
+            at.add_error("no service has this name");
         }
-        place
+        index
     };
     let mut split = Vec::new();
-    if action.field("traffic-split").is_there() {
+    if action.field("traffic-split").is_present() {
         for part in action.field("traffic-split").list() {
             let weight = part.field("weight").number();
-            split.extend(service(part.field("service-name")).map(|place| (place, weight)));
+            split.extend(service(part.field("service-name")).map(|index| (index, weight)));
         }
     } else {
-        split.extend(service(action.field("service-name")).map(|place| (place, 1.0)));
+        split.extend(service(action.field("service-name")).map(|index| (index, 1.0)));
     }
-    let timeout = Duration::from_millis(action.field("timeout-ms").whole_number());
-    if action.field("timeout-ms").is_there() && timeout.is_zero() {
-        action.field("timeout-ms").wrong("must be above 0");
+    let timeout = Duration::from_millis(action.field("timeout-ms").integer());
+    if action.field("timeout-ms").is_present() && timeout.is_zero() {
+        action.field("timeout-ms").add_error("must be above 0");
     }
     let target = rule.field("target-latency-ms");
-    let target_time = target.or(timeout, |at| Duration::from_millis(at.whole_number()));
-    if target_time >= timeout.saturating_add(TARGET_OVER) {
-        target.wrong("is a minute or more above the route's timeout-ms");
+    let target_time = target.optional(timeout, |at| Duration::from_millis(at.integer()));
+    if target_time >= timeout.saturating_add(TARGET_EXCESS_MAX) {
+        target.add_error("is a minute or more above the route's timeout-ms");
     }
-    let attempts = action.field("max-attempts").or(1, At::whole_number);
+    let attempts = action.field("max-attempts").optional(1, Cursor::integer);
     if attempts == 0 {
-        action.field("max-attempts").wrong("must be above 0");
+        action.field("max-attempts").add_error("must be above 0");
     }
-    let repeats = match rule.field("route-kind").text() {
-        "safe_method" => Repeats::Safe,
-        "unsafe_method" => Repeats::Once,
+    let retry_safety = match rule.field("route-kind").text() {
+        "safe_method" => RetrySafety::Idempotent,
+        "unsafe_method" => RetrySafety::AtMostOnce,
         _ => {
-            rule.field("route-kind").wrong("safe_method or unsafe_method is expected");
-            Repeats::Once
+            rule.field("route-kind").add_error("safe_method or unsafe_method is expected");
+            RetrySafety::AtMostOnce
         }
     };
     Route {
-        name: rule.field("name").or("", At::text).to_owned(),
+        name: rule.field("name").optional("", Cursor::text).to_owned(),
         prefix: path.to_owned(),
-        repeats,
+        retry_safety,
         target: target_time,
         timeout,
         attempts: attempts.min(u64::from(u32::MAX)) as u32,
-        priority: rule.field("priority").or(0, At::whole_number) as u32,
-        public: rule.field("public-access").or(false, At::flag),
+        priority: rule.field("priority").optional(0, Cursor::integer) as u32,
+        public: rule.field("public-access").optional(false, Cursor::flag),
         split,
     }
 }
@@ -294,7 +294,7 @@
     use googletest::prelude::*;
     use serde_json::json;
 
-    fn good() -> Value {
+    fn valid() -> Value {
         let rule = |name: &str, prefix: &str, action: Value| {
             json!({"name": name, "route-kind": "safe_method", "target-latency-ms": 250, "priority": 2,
                 "match-conditions": {"path-prefix": prefix}, "route-action": action})
@@ -314,8 +314,8 @@
     }
 
     #[gtest]
-    fn a_valid_one_is_read_whole() {
-        let read = check(&good()).unwrap();
+    fn a_valid_configuration_is_read_in_full() {
+        let read = check(&valid()).unwrap();
         expect_that!(read.version, eq(12));
         expect_that!(read.keys["k2"], eq(0));
         expect_that!(read.tenants[0].rate, near(12.5, 1e-9));
@@ -328,7 +328,7 @@
     }
 
     #[gtest]
-    fn each_fault_is_refused_by_its_path() {
+    fn each_error_is_reported_with_its_path() {
         let cases: &[(&str, Value, &str)] = &[
             ("/version", json!("c"), "version"),
             ("/version", json!("0000000g"), "version"),
@@ -373,25 +373,25 @@
             ("/listeners", json!(null), "listeners"),
             ("/upstream-clusters", json!(7), "upstream-clusters"),
         ];
-        for (place, value, path) in cases {
-            let mut changed = good();
-            *changed.pointer_mut(place).unwrap() = value.clone();
-            let faults = check(&changed).unwrap_err();
-            let places: Vec<&str> = faults.found.iter().map(|f| f.path.as_str()).collect();
-            expect_that!(places, contains(eq(path)), "{place}");
+        for (pointer, value, path) in cases {
+            let mut changed = valid();
+            *changed.pointer_mut(pointer).unwrap() = value.clone();
+            let errors = check(&changed).unwrap_err();
+            let paths: Vec<&str> = errors.found.iter().map(|f| f.path.as_str()).collect();
+            expect_that!(paths, contains(eq(path)), "{pointer}");
         }
     }
 
     #[gtest]
-    fn a_target_less_than_a_minute_above_its_time_out_will_do() {
-        let mut changed = good();
+    fn a_target_less_than_a_minute_above_its_timeout_is_accepted() {
+        let mut changed = valid();
         changed["listeners"][0]["rules"][0]["target-latency-ms"] = json!(60_599);
         expect_true!(check(&changed).is_ok());
     }
 
     #[gtest]
-    fn what_is_cut_short_anywhere_is_refused() {
-        let whole = serde_json::to_vec(&good()).unwrap();
+    fn a_configuration_truncated_anywhere_is_rejected() {
+        let whole = serde_json::to_vec(&valid()).unwrap();
         expect_true!(parse(&whole).is_ok());
         for length in 0..whole.len() {
             expect_true!(parse(&whole[..length]).is_err(), "{length}");
--- a/crates/common/src/lib.rs
+++ b/crates/common/src/lib.rs
@@ -1,13 +1,13 @@
-//! What both programs of the system read and check: the settings of a process, the operators' configurations,
-//! the closed list of error kinds, the log.
+//! Code that both programs of the system share: the settings of a process, the operators' configurations, the
+//! list of error kinds, the log and the recent use of quotas.
 //!
-//! Settings and configurations are [`serde_json::Value`]s, walked by [`paths`]: every fault is named by its path,
-//! and all of them are told at once.
+//! Settings and configurations are read as [`serde_json::Value`]s and checked by [`validation`], which
+//! reports all errors at once, each with the path of its field.
 
 pub mod command;
 pub mod configuration;
-pub mod kinds;
+pub mod error_kinds;
 pub mod logs;
-pub mod paths;
 pub mod recent_use;
 pub mod settings;
+pub mod validation;
--- a/crates/common/src/settings.rs
+++ b/crates/common/src/settings.rs
@@ -1,14 +1,14 @@
-//! What the platform tells a process in its settings file.
+//! Reads the settings file, through which the platform configures a process.
 
-use crate::paths::{At, Faults};
+use crate::validation::{Cursor, ValidationErrors};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// The variable that names the settings file, and where it is without it.
-pub const VARIABLE: (&str, &str) = ("GRANITELEAD_NODE_FILE", "/etc/granitelead/node.toml");
-/// Largest settings file that is read, bytes.
+/// The environment variable with the path of the settings file, and the path without it.
+pub const SETTINGS_FILE: (&str, &str) = ("GRANITELEAD_NODE_FILE", "/etc/granitelead/node.toml");
+/// Largest settings file that is accepted, bytes.
 const FILE_MAX: u64 = 1 << 20;
 
 /// The settings of one process.
@@ -20,52 +20,52 @@
     pub zone: String,
     /// The machine's address.
     pub ip: Ipv4Addr,
-    /// The first port that the machine leaves free for the system's own talk; markers listen there.
+    /// The first of the machine's ports that are reserved for internal communication; markers listen on it.
     pub internal_port: u16,
-    /// Where control is served by up to three machines, as far as is known.
+    /// Control plane addresses of up to three machines, as far as they are known at the start.
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether this is the first start of the whole system, on empty disks.
+    /// Whether this is the first start of the whole system, with empty disks.
     pub first_start: bool,
-    /// The folder that lasts, where there is one.
-    pub folder: Option<String>,
-    /// How often a server beats.
-    pub beat: Duration,
-    /// Where clients are taken in, whether clients may come is told, and control is served.
+    /// The persistent data directory, if there is one.
+    pub data_directory: Option<String>,
+    /// Interval between the heartbeats of a server.
+    pub heartbeat_interval: Duration,
+    /// Listen address for client requests.
     pub front: Option<SocketAddrV4>,
-    /// See [`Settings::front`].
+    /// Listen address for readiness checks.
     pub readiness: Option<SocketAddrV4>,
-    /// See [`Settings::front`].
+    /// Listen address of the control plane.
     pub control: Option<SocketAddrV4>,
-    /// Descriptors that the process may have.
+    /// Maximum number of file descriptors of the process.
     pub descriptors: u64,
-    /// Memory that the process may have, MB.
+    /// Memory limit of the process, MB.
     pub memory_mb: u64,
-    /// How many machines of the core may be lost at once.
-    pub losses: usize,
-    /// The figures of the rules.
+    /// Number of core machines that may fail at the same time.
+    pub machine_losses: usize,
+    /// The limits that the system has to meet.
     pub bounds: Bounds,
 }
 
-/// The figures of the rules in force.
+/// The limits that the system has to meet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// What a leaving server goes on to serve for.
+    /// How long a draining server continues to process requests.
     pub drain: Duration,
-    /// From SIGTERM to SIGKILL.
+    /// Time from SIGTERM to SIGKILL.
     pub grace: Duration,
-    /// From a configuration's acknowledgement to its effect everywhere.
+    /// Maximum time from the acknowledgement of a configuration until it is in force everywhere.
     pub apply: Duration,
-    /// Further sends for each request, the window of their count, and what is free.
+    /// Retry budget: retries allowed for each request.
     pub retry_ratio: f64,
-    /// See [`Bounds::retry_ratio`].
+    /// The window over which the retry budget is counted.
     pub retry_window: Duration,
-    /// See [`Bounds::retry_ratio`].
+    /// Retries in the window that are allowed in addition to the ratio.
     pub retry_slack: f64,
-    /// The window of the quotas' rule, and by which part and how much they may be passed.
+    /// The window over which compliance with quotas is measured.
     pub quota_window: Duration,
-    /// See [`Bounds::quota_window`].
+    /// Fraction of a quota by which it may be exceeded.
     pub quota_overshoot: f64,
-    /// See [`Bounds::quota_window`].
+    /// Requests by which a quota may be exceeded in addition.
     pub quota_slack: f64,
 }
 
@@ -73,43 +73,43 @@
 ///
 /// # Errors
 ///
-/// Every fault of the file, by the field where it is.
-pub fn load() -> Result<Settings, Faults> {
-    let path = std::env::var(VARIABLE.0).unwrap_or_else(|_| VARIABLE.1.to_owned());
-    let size = std::fs::metadata(&path).map_err(|e| Faults::whole(format_args!("{path}: {e}")))?.len();
+/// All errors in the file, with their fields.
+pub fn load() -> Result<Settings, ValidationErrors> {
+    let path = std::env::var(SETTINGS_FILE.0).unwrap_or_else(|_| SETTINGS_FILE.1.to_owned());
+    let size = std::fs::metadata(&path).map_err(|e| ValidationErrors::root(format_args!("{path}: {e}")))?.len();
     if size > FILE_MAX {
-        return Err(Faults::whole(format_args!("{path}: {size} bytes are more than {FILE_MAX}")));
+        return Err(ValidationErrors::root(format_args!("{path}: {size} bytes are more than {FILE_MAX}")));
     }
-    let text = std::fs::read_to_string(&path).map_err(|e| Faults::whole(format_args!("{path}: {e}")))?;
+    let text = std::fs::read_to_string(&path).map_err(|e| ValidationErrors::root(format_args!("{path}: {e}")))?;
     parse(&text)
 }
 
-/// Reads the text of a settings file. Fields that are not known are ignored.
+/// Parses the text of a settings file. Unknown fields are ignored.
 ///
 /// # Errors
 ///
-/// Every fault of the text, by the field where it is.
-pub fn parse(text: &str) -> Result<Settings, Faults> {
-    let value: Value = toml::from_str(text).map_err(|e| Faults::whole(e.to_string().replace('\n', " ")))?;
-    let at = At::whole(&value);
-    let address = |at: At| {
-        at.or(None, |at| {
+/// All errors in the text, with their fields.
+pub fn parse(text: &str) -> Result<Settings, ValidationErrors> {
+    let value: Value = toml::from_str(text).map_err(|e| ValidationErrors::root(e.to_string().replace('\n', " ")))?;
+    let at = Cursor::root(&value);
+    let address = |at: Cursor| {
+        at.optional(None, |at| {
             let read = at.text().parse().ok();
             if read.is_none() {
-                at.wrong("an address such as 10.1.0.24:8042 is expected");
+                at.add_error("an address such as 10.1.0.24:8042 is expected");
             }
             read
         })
     };
     let ip = at.field("ip-address").text().parse().unwrap_or_else(|_| {
-        at.field("ip-address").wrong("an IPv4 address is expected");
+        at.field("ip-address").add_error("an IPv4 address is expected");
         Ipv4Addr::UNSPECIFIED
     });
-    let ports: Vec<u64> = at.field("internal-port-range").list().iter().map(At::whole_number).collect();
+    let ports: Vec<u64> = at.field("internal-port-range").list().iter().map(Cursor::integer).collect();
     let internal_port = match ports[..] {
         [first, last] if first > 0 && first <= last && last <= 65_535 => first as u16,
         _ => {
-            at.field("internal-port-range").wrong("two ports, the first not above the last, are expected");
+            at.field("internal-port-range").add_error("two ports, the first not above the last, are expected");
             0
         }
     };
@@ -122,40 +122,40 @@
         ip,
         internal_port,
         seeds: at.field("seed-nodes").list().into_iter().filter_map(address).collect(),
-        first_start: at.field("first-start").or(false, At::flag),
-        folder: at.field("data-directory").or(None, |at| Some(at.name().to_owned())),
-        beat: millis(at.field("heartbeat-interval-ms").or(1_500, At::whole_number)),
+        first_start: at.field("first-start").optional(false, Cursor::flag),
+        data_directory: at.field("data-directory").optional(None, |at| Some(at.name().to_owned())),
+        heartbeat_interval: millis(at.field("heartbeat-interval-ms").optional(1_500, Cursor::integer)),
         front: address(listen.field("front")),
         readiness: address(listen.field("readiness")),
         control: address(listen.field("control-plane")),
-        descriptors: limits.field("file-descriptors").or(1_024, At::whole_number),
-        memory_mb: limits.field("memory-mb").or(256, At::whole_number),
-        losses: at.field("fault-tolerance").field("machine-losses").or(0, At::whole_number) as usize,
+        descriptors: limits.field("file-descriptors").optional(1_024, Cursor::integer),
+        memory_mb: limits.field("memory-mb").optional(256, Cursor::integer),
+        machine_losses: at.field("fault-tolerance").field("machine-losses").optional(0, Cursor::integer) as usize,
         bounds,
     };
-    at.judge(settings)
+    at.finish(settings)
 }
 
 fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Reads the list of `name=value` texts. A name that is missing has the value of the operators' example.
-fn bounds(at: &At) -> Bounds {
-    let mut given = BTreeMap::new();
-    for part in at.or(Vec::new(), At::list) {
-        match part.text().split_once('=') {
-            Some((name, value)) => drop(given.insert(name.trim(), (value.trim(), part.clone()))),
-            None => part.wrong("name=value is expected"),
+/// Reads a list of `name=value` strings. Missing names default to the values of the operators' example.
+fn bounds(at: &Cursor) -> Bounds {
+    let mut values = BTreeMap::new();
+    for entry in at.optional(Vec::new(), Cursor::list) {
+        match entry.text().split_once('=') {
+            Some((name, value)) => drop(values.insert(name.trim(), (value.trim(), entry.clone()))),
+            None => entry.add_error("name=value is expected"),
         }
     }
-    let read = |name: &str, otherwise: f64| match given.get(name) {
-        None => otherwise,
+    let read = |name: &str, default: f64| match values.get(name) {
+        None => default,
         Some((value, at)) => match value.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0) {
             Some(n) => n,
             None => {
-                at.wrong("a number from 0 on is expected");
-                otherwise
+                at.add_error("a number from 0 on is expected");
+                default
             }
         },
     };
@@ -178,7 +178,7 @@
     use super::*;
     use googletest::prelude::*;
 
-    const GOOD: &str = r#"
+    const VALID: &str = r#"
         node-name = "front-a-1"
         zone = "a"
         ip-address = "10.1.0.24"
@@ -198,20 +198,20 @@
     "#;
 
     #[gtest]
-    fn what_is_known_is_read_and_what_is_new_ignored() {
-        let read = parse(GOOD).unwrap();
+    fn known_fields_are_read_and_unknown_ones_ignored() {
+        let read = parse(VALID).unwrap();
         expect_that!(read.seeds.len(), eq(2));
         expect_that!(read.internal_port, eq(7100));
-        expect_that!(read.losses, eq(1));
+        expect_that!(read.machine_losses, eq(1));
         expect_that!(read.front, none());
         expect_that!(read.control.unwrap().port(), eq(8042));
         expect_that!(read.bounds.drain, eq(Duration::from_millis(2500)));
         expect_that!(read.bounds.retry_ratio, near(0.25, 1e-9));
-        expect_that!(read.folder.as_deref(), some(eq("/data/x")));
+        expect_that!(read.data_directory.as_deref(), some(eq("/data/x")));
     }
 
     #[gtest]
-    fn every_faulty_field_is_named() {
+    fn every_invalid_field_is_reported() {
         let cases = [
             ("zone = \"a\"", "zone = 7", "zone"),
             ("\"10.1.0.24\"", "\"ten\"", "ip-address"),
@@ -220,18 +220,18 @@
             ("drain-ms=2500", "drain-ms=soon", "bounds[0]"),
             ("first-start = true", "first-start = 1", "first-start"),
         ];
-        let mut all = GOOD.to_owned();
-        for (good, bad, place) in cases {
-            let faults = parse(&GOOD.replace(good, bad)).unwrap_err();
+        let mut all = VALID.to_owned();
+        for (valid, invalid, path) in cases {
+            let errors = parse(&VALID.replace(valid, invalid)).unwrap_err();
             expect_that!(
-                faults.found.iter().map(|f| f.path.as_str()).collect::<Vec<_>>(),
-                contains(eq(&place))
+                errors.found.iter().map(|f| f.path.as_str()).collect::<Vec<_>>(),
+                contains(eq(&path))
             );
-            all = all.replace(good, bad);
+            all = all.replace(valid, invalid);
         }
-        let faults = parse(&all).unwrap_err();
-        for (_, _, place) in cases {
-            expect_that!(faults.to_string(), contains_substring(place));
+        let errors = parse(&all).unwrap_err();
+        for (_, _, path) in cases {
+            expect_that!(errors.to_string(), contains_substring(path));
         }
         expect_that!(parse("= no file").is_err(), eq(true));
     }
--- a/crates/control-protocol/src/difference.rs
+++ b/crates/control-protocol/src/difference.rs
@@ -1,130 +1,134 @@
-//! Configurations told as what differs from one that the other has: a change costs its own size, not the whole's.
+//! Computes and applies differences between two configurations, so that sending a change costs its own size
+//! and not that of the whole configuration.
 //!
-//! What is applied comes out byte for byte as it was, or not at all: a difference names the number and the digest of
-//! what it begins from and of what it makes. Whoever has another one says so, and is told the whole.
+//! Applying a difference gives the new configuration byte for byte or fails: a difference names the version
+//! and the digest of the configuration that it starts from and of its result. A receiver that has another
+//! base says so and is sent the full configuration.
 //!
-//! Blocks of the old bytes are looked up among the new ones, as `rsync` does it, and made as long as they go. Work and
-//! memory are bounded: at most [`BLOCKS_MAX`] blocks are listed, each new byte is looked up once and compared once. What
-//! is larger than [`SIZE_MAX`] is told whole.
+//! As in `rsync`, blocks of the old bytes are looked up among the new ones; each match is extended as far as
+//! possible. Work and memory are bounded: at most [`BLOCKS_MAX`] blocks are indexed, and each new byte is
+//! looked up once and compared once. Configurations larger than [`SIZE_MAX`] are sent in full.
 
-use crate::words::{Difference, Digest, Document, Revision, Run};
+use crate::messages::{Difference, Digest, Document, Revision, Run};
 use snafu::Snafu;
 use std::collections::HashMap;
 
-/// Largest configuration of which differences are made, bytes.
+/// Largest configuration for which differences are computed, bytes.
 pub const SIZE_MAX: usize = 1 << 20;
-/// Least length of a block, bytes: a run costs some ten.
-const BLOCK: usize = 16;
-/// Blocks that are listed at once; of larger configurations they are longer.
+/// Minimum length of a block, bytes. A run costs some ten, so that shorter matches save little.
+const BLOCK_MIN: usize = 16;
+/// Maximum number of indexed blocks; larger configurations use longer blocks.
 const BLOCKS_MAX: usize = 32 << 10;
-/// What a run costs besides the bytes that it brings, about.
-const RUN: usize = 10;
+/// Approximate encoded size of a run without its new bytes, bytes.
+const RUN_OVERHEAD: usize = 10;
 
-/// Why a difference is not applied.
+/// Why a difference can't be applied.
 #[derive(Debug, PartialEq, Eq, Snafu)]
-pub enum Fault {
-    /// It begins from another configuration.
-    #[snafu(display("it begins from version {:08x} {}, not from {:08x} {}", wants.version, wants.digest, has.version, has.digest))]
-    Base {
-        /// What it begins from.
-        wants: Revision,
-        /// What it was to be applied to.
-        has: Revision,
+pub enum ApplyError {
+    /// It starts from another configuration.
+    #[snafu(display("it applies to version {:08x} {}, not to {:08x} {}", required.version, required.digest, actual.version, actual.digest))]
+    BaseMismatch {
+        /// The base that the difference requires.
+        required: Revision,
+        /// The configuration that it was applied to.
+        actual: Revision,
     },
-    /// It takes bytes that the old one has not, or makes more than any configuration holds.
-    #[snafu(display("a run takes {length} bytes at {at} of {size}"))]
-    Bounds {
-        /// Where.
+    /// A run copies bytes outside the old configuration, or the result would exceed [`SIZE_MAX`].
+    #[snafu(display("a run copies {length} bytes at offset {at} of {size}"))]
+    OutOfBounds {
+        /// Offset of the run in the old bytes.
         at: u32,
-        /// How many.
+        /// Length of the run, bytes.
         length: u32,
-        /// How many there are.
+        /// Size of the old configuration, bytes.
         size: usize,
     },
-    /// What it makes is not what it says.
-    #[snafu(display("it makes {made}, not {wanted}"))]
-    Made {
-        /// What comes out.
-        made: Digest,
-        /// What was to.
-        wanted: Digest,
+    /// The result has another digest than the difference names.
+    #[snafu(display("the result has digest {actual}, expected {expected}"))]
+    ResultMismatch {
+        /// Digest of the result.
+        actual: Digest,
+        /// Digest that the difference names.
+        expected: Digest,
     },
 }
 
 impl Difference {
-    /// What differs between two, unless the whole costs little more or is too large.
+    /// Computes the difference between two configurations. Returns `None` if it isn't smaller than three
+    /// quarters of the new configuration, or if one of them exceeds [`SIZE_MAX`].
     pub fn between(old: &Document, new: &Document) -> Option<Difference> {
         if old.bytes.len().max(new.bytes.len()) > SIZE_MAX {
             return None;
         }
         let runs = runs(&old.bytes, &new.bytes);
-        let cost: usize = runs.iter().map(|Run(_, _, bytes)| RUN + bytes.len()).sum();
-        let worth = cost < new.bytes.len() / 4 * 3;
-        worth.then(|| Difference { from: old.revision(), to: new.revision(), runs })
+        let cost: usize = runs.iter().map(|Run(_, _, bytes)| RUN_OVERHEAD + bytes.len()).sum();
+        let is_worthwhile = cost < new.bytes.len() / 4 * 3;
+        is_worthwhile.then(|| Difference { from: old.revision(), to: new.revision(), runs })
     }
 
-    /// Makes the new one out of the old.
+    /// Creates the new configuration from the old one.
     ///
     /// # Errors
     ///
-    /// Why it can't be; nothing is made then.
-    pub fn apply(&self, old: &Document) -> Result<Document, Fault> {
-        let has = old.revision();
-        if has != self.from {
-            return BaseSnafu { wants: self.from, has }.fail();
+    /// The base or the result doesn't match, or a run is out of bounds.
+    pub fn apply(&self, old: &Document) -> Result<Document, ApplyError> {
+        let actual = old.revision();
+        if actual != self.from {
+            return BaseMismatchSnafu { required: self.from, actual }.fail();
         }
         let size = old.bytes.len();
-        let mut made = Vec::new();
+        let mut result = Vec::new();
         for Run(at, length, bytes) in &self.runs {
             let end = (*at as usize).checked_add(*length as usize);
-            let taken = end.and_then(|end| old.bytes.get(*at as usize..end));
-            let taken = taken.filter(|taken| made.len() + taken.len() + bytes.len() <= SIZE_MAX);
-            let Some(taken) = taken else {
-                return BoundsSnafu { at: *at, length: *length, size }.fail();
+            let copied = end.and_then(|end| old.bytes.get(*at as usize..end));
+            let copied = copied.filter(|copied| result.len() + copied.len() + bytes.len() <= SIZE_MAX);
+            let Some(copied) = copied else {
+                return OutOfBoundsSnafu { at: *at, length: *length, size }.fail();
             };
-            made.extend_from_slice(taken);
-            made.extend_from_slice(bytes);
+            result.extend_from_slice(copied);
+            result.extend_from_slice(bytes);
         }
-        let digest = Digest::of(&made);
+        let digest = Digest::of(&result);
         if digest != self.to.digest {
-            return MadeSnafu { made: digest, wanted: self.to.digest }.fail();
+            return ResultMismatchSnafu { actual: digest, expected: self.to.digest }.fail();
         }
-        Ok(Document { version: self.to.version, bytes: made })
+        Ok(Document { version: self.to.version, bytes: result })
     }
 }
 
-/// How many bytes two have in common from here on.
-fn common(a: &[u8], b: &[u8]) -> usize {
+/// Length of the common prefix, bytes.
+fn common_prefix(a: &[u8], b: &[u8]) -> usize {
     a.iter().zip(b).take_while(|(a, b)| a == b).count()
 }
 
+/// Computes the runs that create the new bytes from the old ones.
 fn runs(old: &[u8], new: &[u8]) -> Vec<Run> {
-    let block = BLOCK.max(old.len().div_ceil(BLOCKS_MAX));
-    let mut places: HashMap<&[u8], usize> = HashMap::new();
+    let block = BLOCK_MIN.max(old.len().div_ceil(BLOCKS_MAX));
+    let mut offsets: HashMap<&[u8], usize> = HashMap::new();
     for (n, bytes) in old.chunks_exact(block).enumerate() {
-        places.entry(bytes).or_insert(n * block);
+        offsets.entry(bytes).or_insert(n * block);
     }
     let mut runs: Vec<Run> = vec![Run(0, 0, Vec::new())];
-    // In the new bytes: where to look, and how far they are told.
-    let (mut at, mut told) = (0, 0);
+    // Positions in the new bytes: where to look next, and up to where the runs cover them.
+    let (mut at, mut covered) = (0, 0);
     while let Some(next) = new.get(at..at + block) {
-        let Some(place) = places.get(next).copied() else {
+        let Some(offset) = offsets.get(next).copied() else {
             at += 1;
             continue;
         };
-        let length = common(&old[place..], &new[at..]);
-        // A block begins where it happens to: what is before it may be the same too.
-        let before = old[..place].iter().rev().zip(new[told..at].iter().rev());
+        let length = common_prefix(&old[offset..], &new[at..]);
+        // Blocks have fixed boundaries, so that the bytes before a match may match too.
+        let before = old[..offset].iter().rev().zip(new[covered..at].iter().rev());
         let before = before.take_while(|(a, b)| a == b).count();
         if let Some(Run(_, _, bytes)) = runs.last_mut() {
-            bytes.extend_from_slice(&new[told..at - before]);
+            bytes.extend_from_slice(&new[covered..at - before]);
         }
-        runs.push(Run((place - before) as u32, (length + before) as u32, Vec::new()));
+        runs.push(Run((offset - before) as u32, (length + before) as u32, Vec::new()));
         at += length;
-        told = at;
+        covered = at;
     }
     if let Some(Run(_, _, bytes)) = runs.last_mut() {
-        bytes.extend_from_slice(&new[told..]);
+        bytes.extend_from_slice(&new[covered..]);
     }
     runs.retain(|Run(_, length, bytes)| *length > 0 || !bytes.is_empty());
     runs
--- a/crates/control-protocol/src/ledger.rs
+++ b/crates/control-protocol/src/ledger.rs
@@ -1,66 +1,67 @@
-//! Which content each number of a configuration stands for.
+//! Records which content each configuration version identifies.
 //!
-//! Owed to others: [`Ledger`] never names a second content under a number, and says where it no longer knows. It is the
-//! same whatever the order in which the same entries come, and however often, so that a primary and its backups can't
-//! come apart by words that are doubled or late.
+//! [`Ledger`] guarantees that a version never identifies a second content, and reports when it no longer
+//! knows. Its state doesn't depend on the order in which entries arrive or how often, so that a primary and
+//! its backups stay identical when messages are duplicated or delayed.
 
-use crate::words::{Digest, Ledger};
+use crate::messages::{Digest, Ledger};
 use std::collections::BTreeMap;
 
-/// Numbers that are remembered, the highest of them: twice the changes of a day of hundreds, so that whatever an
-/// operator still sends again is among them, and some 47 kB at most in a copy, a fifth of a second on 2 Mbit/s.
-pub const NUMBERS_MAX: usize = 2_048;
+/// Versions that are remembered, the highest ones. This is twice the number of changes on a day with hundreds
+/// of them, so that a change which an operator still resends is among them. A snapshot then takes some 47 kB
+/// at most, which is a fifth of a second at 2 Mbit/s.
+pub const VERSIONS_MAX: usize = 2_048;
 
-/// What a ledger knows of a number.
+/// What a ledger knows about a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
-    /// It stands for no content yet.
+pub enum VersionState {
+    /// It identifies no content yet.
     Free,
-    /// It stands for this content.
+    /// It identifies this content.
     Content(Digest),
-    /// It may stand for one, which is no longer remembered.
+    /// It may identify a content, but the entry has been evicted.
     Forgotten,
 }
 
 impl Ledger {
-    /// One that holds these entries and knows nothing of other numbers up to `forgotten`.
+    /// Creates a ledger with these entries. Other versions up to `forgotten` count as evicted.
     pub fn new(forgotten: Option<u32>, entries: BTreeMap<u32, Digest>) -> Ledger {
         let mut ledger = Ledger { forgotten, entries };
-        ledger.forget();
+        ledger.evict();
         ledger
     }
 
-    /// What is known of a number.
-    pub fn known(&self, version: u32) -> Known {
+    /// Looks up a version.
+    pub fn lookup(&self, version: u32) -> VersionState {
         match self.entries.get(&version) {
-            Some(digest) => Known::Content(*digest),
-            None if self.forgotten.is_some_and(|forgotten| version <= forgotten) => Known::Forgotten,
-            None => Known::Free,
+            Some(digest) => VersionState::Content(*digest),
+            None if self.forgotten.is_some_and(|forgotten| version <= forgotten) => VersionState::Forgotten,
+            None => VersionState::Free,
         }
     }
 
-    /// Has a number that is free stand for a content; the lowest are forgotten where there are too many. Whatever is
-    /// known of a number stays.
-    pub fn enter(&mut self, version: u32, digest: Digest) {
-        if self.known(version) == Known::Free {
+    /// Binds a free version to a content and evicts the lowest versions above the limit. A version that is
+    /// not free is left unchanged.
+    pub fn record(&mut self, version: u32, digest: Digest) {
+        if self.lookup(version) == VersionState::Free {
             self.entries.insert(version, digest);
-            self.forget();
+            self.evict();
         }
     }
 
-    fn forget(&mut self) {
-        while self.entries.len() > NUMBERS_MAX {
+    fn evict(&mut self) {
+        while self.entries.len() > VERSIONS_MAX {
             let lowest = self.entries.pop_first().map(|(version, _)| version);
             self.forgotten = self.forgotten.max(lowest);
         }
     }
 
-    /// The highest number of which nothing is known.
+    /// The highest version whose entry may have been evicted.
     pub fn forgotten(&self) -> Option<u32> {
         self.forgotten
     }
 
-    /// All that is known.
+    /// All entries, by version.
     pub fn entries(&self) -> &BTreeMap<u32, Digest> {
         &self.entries
     }
--- a/crates/control-protocol/src/lib.rs
+++ b/crates/control-protocol/src/lib.rs
@@ -1,10 +1,11 @@
-//! What the processes of the system say to each other, and the held connections that carry it.
+//! The messages that the processes of the system exchange, and the long-lived connections that carry them.
 //!
-//! [`words`] has every message. [`difference`] makes the configurations in them small. [`frames`] cuts a stream of bytes into them. [`line`] joins both to a socket.
-//! [`ledger`] says which content each number stands for.
+//! [`messages`] defines every message, [`frames`] their encoding on a byte stream and [`connection`] the
+//! transport over TCP. [`difference`] computes deltas between configurations, so that a small change makes a
+//! small message. [`ledger`] records which content each configuration version identifies.
 
+pub mod connection;
 pub mod difference;
 pub mod frames;
 pub mod ledger;
-pub mod line;
-pub mod words;
+pub mod messages;
--- a/crates/control-protocol/tests/ledger.rs
+++ b/crates/control-protocol/tests/ledger.rs
@@ -1,47 +1,47 @@
-//! The ledger of numbers and contents.
+//! Tests of the ledger that maps configuration versions to contents.
 
 use googletest::prelude::*;
-use granitelead_control_protocol::ledger::{Known, NUMBERS_MAX};
-use granitelead_control_protocol::words::{Digest, Ledger};
+use granitelead_control_protocol::ledger::{VersionState, VERSIONS_MAX};
+use granitelead_control_protocol::messages::{Digest, Ledger};
 
 #[gtest]
-fn a_number_stands_for_its_first_content() {
+fn a_version_identifies_its_first_content() {
     let mut ledger = Ledger::default();
-    ledger.enter(5, Digest([1; 16]));
-    ledger.enter(5, Digest([2; 16]));
-    expect_that!(ledger.known(5), eq(Known::Content(Digest([1; 16]))));
-    expect_that!((ledger.known(4), ledger.known(6)), eq((Known::Free, Known::Free)));
+    ledger.record(5, Digest([1; 16]));
+    ledger.record(5, Digest([2; 16]));
+    expect_that!(ledger.lookup(5), eq(VersionState::Content(Digest([1; 16]))));
+    expect_that!((ledger.lookup(4), ledger.lookup(6)), eq((VersionState::Free, VersionState::Free)));
 }
 
 #[gtest]
-fn the_highest_numbers_are_remembered_whatever_the_order_they_come_in() {
-    let most = NUMBERS_MAX as u32;
-    let mut numbers: Vec<u32> = (10..most + 30).chain(20..40).collect();
-    let enter = |numbers: &[u32]| {
+fn the_highest_versions_are_remembered_in_any_order_of_arrival() {
+    let most = VERSIONS_MAX as u32;
+    let mut versions: Vec<u32> = (10..most + 30).chain(20..40).collect();
+    let record_all = |versions: &[u32]| {
         let mut ledger = Ledger::default();
-        numbers
+        versions
             .iter()
-            .for_each(|number| ledger.enter(*number, Digest::from(u128::MAX - u128::from(*number))));
+            .for_each(|version| ledger.record(*version, Digest::from(u128::MAX - u128::from(*version))));
         ledger
     };
-    let up = enter(&numbers);
-    expect_that!(up.entries().len(), eq(NUMBERS_MAX));
-    expect_that!(up.forgotten(), some(eq(29)));
-    // Below the lowest that is remembered nothing is free: another content may have been confirmed there.
-    expect_that!((up.known(0), up.known(29)), eq((Known::Forgotten, Known::Forgotten)));
-    expect_that!(up.known(30), eq(Known::Content(Digest::from(u128::MAX - 30))));
+    let expected = record_all(&versions);
+    expect_that!(expected.entries().len(), eq(VERSIONS_MAX));
+    expect_that!(expected.forgotten(), some(eq(29)));
+    // No version below the lowest remembered one is free: it may have been confirmed with another content.
+    expect_that!((expected.lookup(0), expected.lookup(29)), eq((VersionState::Forgotten, VersionState::Forgotten)));
+    expect_that!(expected.lookup(30), eq(VersionState::Content(Digest::from(u128::MAX - 30))));
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..20 {
-        rng.shuffle(&mut numbers);
-        expect_that!(enter(&numbers), eq(&up));
+        rng.shuffle(&mut versions);
+        expect_that!(record_all(&versions), eq(&expected));
     }
-    // What a copy costs, bytes: a digest in 16 of them, not as a list of numbers.
+    // Encoded size of a full ledger, bytes: a digest takes 16 of them and is not a list of numbers.
     let mut bytes = Vec::new();
-    ciborium::into_writer(&up, &mut bytes).unwrap();
+    ciborium::into_writer(&expected, &mut bytes).unwrap();
     expect_that!(bytes.len(), le(48_000));
-    let mut late = up.clone();
-    late.enter(3, Digest([9; 16]));
-    expect_that!(late, eq(&up));
+    let mut late = expected.clone();
+    late.record(3, Digest([9; 16]));
+    expect_that!(late, eq(&expected));
 }
 
 #[gtest]
--- a/crates/lab/src/hollow/gatekeepers.rs
+++ b/crates/lab/src/hollow/gatekeepers.rs
@@ -4,8 +4,8 @@
 use super::configuration::tenant;
 use super::seen::Seen;
 use granitelead_base::Backoff;
-use granitelead_control_protocol::line::{self, Sender};
-use granitelead_control_protocol::words::{Document, Down, News, Revision, Up, Word};
+use granitelead_control_protocol::connection::{self, Sender};
+use granitelead_control_protocol::messages::{Document, ToGatekeeper, Update, Revision, ToMarker, Message};
 use granitelead_proxy::control::{Change, Control};
 use granitelead_proxy::servers::Servers;
 use granitelead_proxy::sessions::{BATCH, PING, PING_OTHER, SILENCE};
@@ -97,11 +97,11 @@
 }
 
 impl Gatekeeper {
-    fn say(&self, words: impl IntoIterator<Item = (Ipv4Addr, Up)>) {
+    fn say(&self, words: impl IntoIterator<Item = (Ipv4Addr, ToMarker)>) {
         let standing = self.standing.borrow();
         for (ip, word) in words {
             if let Some(line) = standing.get(&ip) {
-                let word = Word::Up(word);
+                let word = Message::ToMarker(word);
                 self.shared.seen.said(word.kind(), line.send(&word));
             }
         }
@@ -119,7 +119,7 @@
     }
 
     async fn hold(self: Rc<Self>, ip: Ipv4Addr) {
-        let stream = match line::dial(SocketAddr::from((ip, self.shared.port))).await {
+        let stream = match connection::connect(SocketAddr::from((ip, self.shared.port))).await {
             Ok(stream) => stream,
             Err(ended) => {
                 log::info!("{ip}: {ended}");
@@ -139,8 +139,8 @@
         self.say([(ip, hello)]);
         let (gatekeeper, stands) = (self.clone(), Rc::new(Cell::new(false)));
         let told = stands.clone();
-        let carried = line::carry(stream, sender.clone(), SILENCE, move |word| {
-            if matches!(word, Word::Down(Down::News(_, News::Whole(_)))) && !told.replace(true) {
+        let carried = connection::run(stream, sender.clone(), SILENCE, move |word| {
+            if matches!(word, Message::ToGatekeeper(ToGatekeeper::Update(_, Update::Synchronized(_)))) && !told.replace(true) {
                 gatekeeper.shared.seen.session(true);
             }
             gatekeeper.take(ip, word);
@@ -152,9 +152,9 @@
                 let home = self.control.borrow().home() == Some(ip);
                 if home || said.elapsed() >= PING_OTHER {
                     said = Instant::now();
-                    self.say([(ip, Up::Ping)]);
+                    self.say([(ip, ToMarker::Ping)]);
                 }
-                let (_, into) = sender.carried();
+                let (_, into) = sender.transferred();
                 self.shared.seen.came(into - counted);
                 counted = into;
             }
@@ -171,8 +171,8 @@
         self.say(say);
     }
 
-    fn take(&self, ip: Ipv4Addr, word: Word) {
-        let Word::Down(word) = word else { return };
+    fn take(&self, ip: Ipv4Addr, word: Message) {
+        let Message::ToGatekeeper(word) = word else { return };
         let (change, mut say) = self.control.borrow_mut().take(self.shared.now(), ip, word);
         say.extend(change.map(|change| self.change(ip, change)).into_iter().flatten());
         self.take_due(&mut say);
@@ -180,7 +180,7 @@
     }
 
     /// Takes in what markers told before it was to be taken, as the gatekeeper proper does.
-    fn take_due(&self, say: &mut Vec<(Ipv4Addr, Up)>) {
+    fn take_due(&self, say: &mut Vec<(Ipv4Addr, ToMarker)>) {
         loop {
             let Some((ip, change)) = self.control.borrow_mut().due() else { break };
             say.extend(self.change(ip, change));
@@ -196,17 +196,17 @@
     }
 
     /// What a marker told changes. Gives what to say to markers.
-    fn change(&self, ip: Ipv4Addr, change: Change) -> Vec<(Ipv4Addr, Up)> {
+    fn change(&self, ip: Ipv4Addr, change: Change) -> Vec<(Ipv4Addr, ToMarker)> {
         let told = match change {
             Change::Configuration(document) => Rc::new(document),
             Change::Difference(difference) => {
                 if let Some(has) = self.revision().filter(|has| has.version >= difference.to.version) {
-                    return vec![(ip, Up::Has(has))];
+                    return vec![(ip, ToMarker::InForce(has))];
                 }
                 let held = self.document.borrow().clone();
                 match held.map(|held| difference.apply(&held)) {
                     Some(Ok(document)) => Rc::new(document),
-                    _ => return vec![(ip, Up::Lacks(self.revision()))],
+                    _ => return vec![(ip, ToMarker::RequestFull(self.revision()))],
                 }
             }
             Change::Servers(told) => {
@@ -222,13 +222,13 @@
             Change::Gatekeepers(..) | Change::Recent(_) | Change::Others(_) => return Vec::new(),
         };
         if let Some(has) = self.revision().filter(|has| has.version >= told.version) {
-            return vec![(ip, Up::Has(has))];
+            return vec![(ip, ToMarker::InForce(has))];
         }
         self.read(told)
     }
 
     /// Has a configuration in force. All are told the same bytes: they are read, and held, once a thread.
-    fn read(&self, told: Rc<Document>) -> Vec<(Ipv4Addr, Up)> {
+    fn read(&self, told: Rc<Document>) -> Vec<(Ipv4Addr, ToMarker)> {
         let held = self.shared.read.borrow().clone().filter(|read| *read == told);
         let document = match held {
             Some(held) => held,
@@ -244,7 +244,7 @@
                 told
             }
         };
-        let (version, has) = (document.version, Up::Has(document.revision()));
+        let (version, has) = (document.version, ToMarker::InForce(document.revision()));
         *self.document.borrow_mut() = Some(document);
         self.shared.seen.in_force(version);
         self.control.borrow().tell_all(&has)
--- a/crates/marker/src/agreement.rs
+++ b/crates/marker/src/agreement.rs
@@ -18,9 +18,9 @@
 //! A marker whose folder was lost is another [`Node`]: it has no vote and holds nothing until an epoch names it.
 
 use crate::parts::Keeping;
-use granitelead_control_protocol::ledger::Known;
-use granitelead_control_protocol::words::{
-    Between, Change, Digest, Document, Epoch, Ledger, Node, Number, Whole,
+use granitelead_control_protocol::ledger::VersionState;
+use granitelead_control_protocol::messages::{
+    PeerMessage, Change, Digest, Document, Epoch, Ledger, Node, ProposalNumber, Snapshot,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -33,15 +33,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Then {
     /// Say that something is kept: what was asked for by whom.
-    Promise(Ipv4Addr, Number),
+    Promise(Ipv4Addr, ProposalNumber),
     /// See [`Then::Promise`].
-    Copied(Ipv4Addr, Number),
+    Copied(Ipv4Addr, ProposalNumber),
     /// See [`Then::Promise`].
-    Kept(Ipv4Addr, Number),
+    Kept(Ipv4Addr, ProposalNumber),
     /// See [`Then::Promise`].
-    Held(Ipv4Addr, Number, u32),
+    Held(Ipv4Addr, ProposalNumber, u32),
     /// Ask the others to promise what is promised here.
-    Ask(Number),
+    Ask(ProposalNumber),
     /// Nothing.
     Nothing,
 }
@@ -50,13 +50,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
     /// Say this to another marker.
-    Say(Ipv4Addr, Between),
+    Say(Ipv4Addr, PeerMessage),
     /// Put all that has to last on disk, and give this back to [`Agreement::written`] once it is there.
     Keep(Then),
     /// A majority has promised this round: name the epoch to follow the newest, with [`Agreement::copy`].
     Choose {
         /// The round.
-        number: Number,
+        number: ProposalNumber,
         /// The newest epoch that one of them keeps.
         newest: Epoch,
         /// Who has promised.
@@ -67,9 +67,9 @@
     /// The round has failed.
     Failed,
     /// This marker is primary from now on.
-    Leads(Number),
+    Leads(ProposalNumber),
     /// It is no longer.
-    Deposed(Number),
+    Deposed(ProposalNumber),
     /// This configuration can't be lost any more.
     Safe(Arc<Document>),
     /// These numbers stand for these contents, which can't be lost any more: orders of just these are confirmed.
@@ -123,7 +123,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Round {
-    number: Number,
+    number: ProposalNumber,
     step: Step,
     asked: BTreeSet<Node>,
     /// The epoch that it follows, once that is known.
@@ -132,7 +132,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Leading {
-    number: Number,
+    number: ProposalNumber,
     backups: Vec<Node>,
     /// The orders on their way to be held, and who holds them.
     holding: Option<(Orders, BTreeSet<Node>)>,
@@ -143,8 +143,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Agreement {
     me: Node,
-    promised: Number,
-    copied: Number,
+    promised: ProposalNumber,
+    copied: ProposalNumber,
     epoch: Option<Epoch>,
     document: Option<Arc<Document>>,
     ledger: Arc<Ledger>,
@@ -153,8 +153,8 @@
     round: Option<Round>,
     leading: Option<Leading>,
     /// An epoch that changes the core, and was kept by both majorities.
-    whole: Option<Number>,
-    inbox: VecDeque<Between>,
+    whole: Option<ProposalNumber>,
+    inbox: VecDeque<PeerMessage>,
 }
 
 /// Whether more than half of these agree.
@@ -211,7 +211,7 @@
     }
 
     /// No epoch below this one is kept here any more.
-    pub fn promised(&self) -> Number {
+    pub fn promised(&self) -> ProposalNumber {
         self.promised
     }
 
@@ -232,7 +232,7 @@
     }
 
     /// The epoch in which this marker is primary, and its backups.
-    pub fn leads(&self) -> Option<(Number, &[Node])> {
+    pub fn leads(&self) -> Option<(ProposalNumber, &[Node])> {
         self.leading.as_ref().map(|l| (l.number, l.backups.as_slice()))
     }
 
@@ -249,7 +249,7 @@
     }
 
     /// The round of this marker that is under way.
-    pub fn asks(&self) -> Option<Number> {
+    pub fn asks(&self) -> Option<ProposalNumber> {
         self.round.as_ref().map(|round| round.number)
     }
 
@@ -268,7 +268,7 @@
         self.highest = self.highest.max(round);
     }
 
-    fn say(&mut self, to: Ipv4Addr, word: Between, acts: &mut Vec<Act>) {
+    fn say(&mut self, to: Ipv4Addr, word: PeerMessage, acts: &mut Vec<Act>) {
         if to == self.me.ip {
             self.inbox.push_back(word);
         } else {
@@ -289,12 +289,12 @@
             Then::Promise(to, number) => {
                 // A word that is overtaken by a higher promise is of no use to anybody.
                 if number == self.promised {
-                    self.say(to, Between::Promise(number, self.epoch.clone()), acts);
+                    self.say(to, PeerMessage::Promise(number, self.epoch.clone()), acts);
                 }
             }
-            Then::Copied(to, number) => self.say(to, Between::Copied(number), acts),
-            Then::Kept(to, number) => self.say(to, Between::Kept(number), acts),
-            Then::Held(to, number, version) => self.say(to, Between::Held(number, version), acts),
+            Then::Copied(to, number) => self.say(to, PeerMessage::SnapshotInstalled(number), acts),
+            Then::Kept(to, number) => self.say(to, PeerMessage::EpochAccepted(number), acts),
+            Then::Held(to, number, version) => self.say(to, PeerMessage::Replicated(number, version), acts),
             Then::Ask(number) => self.ask(number, acts),
             Then::Nothing => {}
         }
@@ -302,27 +302,27 @@
     }
 
     /// Another marker says something.
-    pub fn take(&mut self, from: Node, word: Between, acts: &mut Vec<Act>) {
+    pub fn take(&mut self, from: Node, word: PeerMessage, acts: &mut Vec<Act>) {
         self.on_word(from, word, acts);
         self.work(acts);
     }
 
-    fn on_word(&mut self, from: Node, word: Between, acts: &mut Vec<Act>) {
+    fn on_word(&mut self, from: Node, word: PeerMessage, acts: &mut Vec<Act>) {
         let asked = match &word {
-            Between::Prepare(number) | Between::Copy(number, _) => Some(*number),
-            Between::Keep(epoch) => Some(epoch.number),
+            PeerMessage::Prepare(number) | PeerMessage::InstallSnapshot(number, _) => Some(*number),
+            PeerMessage::AcceptEpoch(epoch) => Some(epoch.number),
             _ => None,
         };
         if asked.is_some_and(|number| !self.allows(from, number, acts)) {
             return;
         }
         match word {
-            Between::Prepare(number) => {
+            PeerMessage::Prepare(number) => {
                 self.promised = number;
                 acts.push(Act::Keep(Then::Promise(from.ip, number)));
             }
-            Between::Promise(number, epoch) => self.on_promise(from, number, epoch, acts),
-            Between::Copy(number, Whole { document, ledger }) => {
+            PeerMessage::Promise(number, epoch) => self.on_promise(from, number, epoch, acts),
+            PeerMessage::InstallSnapshot(number, Snapshot { document, ledger }) => {
                 // A second copy of one round may be older than what was held since.
                 if number > self.copied {
                     (self.document, self.ledger) = (document.map(Arc::new), Arc::new(ledger));
@@ -330,34 +330,34 @@
                 (self.promised, self.copied) = (number, number);
                 acts.push(Act::Keep(Then::Copied(from.ip, number)));
             }
-            Between::Copied(number) => self.on_copied(from, number, acts),
-            Between::Keep(epoch) => {
+            PeerMessage::SnapshotInstalled(number) => self.on_copied(from, number, acts),
+            PeerMessage::AcceptEpoch(epoch) => {
                 let number = epoch.number;
                 (self.promised, self.epoch) = (number, Some(epoch));
                 acts.push(Act::Keep(Then::Kept(from.ip, number)));
             }
-            Between::Kept(number) => self.on_kept(from, number, acts),
-            Between::Over(number) => {
+            PeerMessage::EpochAccepted(number) => self.on_kept(from, number, acts),
+            PeerMessage::Superseded(number) => {
                 self.learn_round(number.round);
                 self.yield_to(number, acts);
             }
-            Between::Hold(number, Change { document, entries }) => {
+            PeerMessage::Replicate(number, Change { document, entries }) => {
                 if number != self.promised {
-                    return self.say(from.ip, Between::Over(self.promised), acts);
+                    return self.say(from.ip, PeerMessage::Superseded(self.promised), acts);
                 }
                 let orders = Orders { document: document.map(Arc::new), entries };
                 let Some(highest) = orders.highest() else { return };
                 self.enter(orders);
                 acts.push(Act::Keep(Then::Held(from.ip, number, highest)));
             }
-            Between::Held(number, version) => self.on_held(from, number, version, acts),
-            Between::Check(number, nonce) if number == self.promised => {
-                self.say(from.ip, Between::Checked(number, nonce), acts);
+            PeerMessage::Replicated(number, version) => self.on_held(from, number, version, acts),
+            PeerMessage::ConfirmEpoch(number, nonce) if number == self.promised => {
+                self.say(from.ip, PeerMessage::EpochConfirmed(number, nonce), acts);
             }
-            Between::Check(..) => self.say(from.ip, Between::Over(self.promised), acts),
-            Between::Checked(number, nonce) => self.on_checked(from, number, nonce, acts),
-            Between::Sure(document) => self.learn_sure(Arc::new(document), acts),
-            Between::Latest(epoch) => {
+            PeerMessage::ConfirmEpoch(..) => self.say(from.ip, PeerMessage::Superseded(self.promised), acts),
+            PeerMessage::EpochConfirmed(number, nonce) => self.on_checked(from, number, nonce, acts),
+            PeerMessage::Committed(document) => self.learn_sure(Arc::new(document), acts),
+            PeerMessage::LatestEpoch(epoch) => {
                 let newer = self.epoch.as_ref().is_none_or(|e| e.number < epoch.number);
                 if newer && epoch.number >= self.promised {
                     self.learn_round(epoch.number.round);
@@ -372,10 +372,10 @@
     }
 
     /// Whether nothing higher has been promised; tells the sender otherwise.
-    fn allows(&mut self, from: Node, number: Number, acts: &mut Vec<Act>) -> bool {
+    fn allows(&mut self, from: Node, number: ProposalNumber, acts: &mut Vec<Act>) -> bool {
         self.learn_round(number.round);
         if number < self.promised {
-            self.say(from.ip, Between::Over(self.promised), acts);
+            self.say(from.ip, PeerMessage::Superseded(self.promised), acts);
             return false;
         }
         self.yield_to(number, acts);
@@ -383,7 +383,7 @@
     }
 
     /// Gives up what is below a number.
-    fn yield_to(&mut self, number: Number, acts: &mut Vec<Act>) {
+    fn yield_to(&mut self, number: ProposalNumber, acts: &mut Vec<Act>) {
         if self.leading.as_ref().is_some_and(|l| l.number < number) {
             self.depose(acts);
         }
@@ -407,10 +407,10 @@
     }
 
     /// Begins a round; whoever is primary here is no longer. Gives its number, unless no epoch is kept here.
-    pub fn begin(&mut self, acts: &mut Vec<Act>) -> Option<Number> {
+    pub fn begin(&mut self, acts: &mut Vec<Act>) -> Option<ProposalNumber> {
         let epoch = self.epoch.as_ref()?;
-        let asked = epoch.core.iter().chain(&epoch.before).copied().collect();
-        let number = Number { round: self.highest.max(self.promised.round) + 1, by: self.me.folder };
+        let asked = epoch.core.iter().chain(&epoch.previous_core).copied().collect();
+        let number = ProposalNumber { round: self.highest.max(self.promised.round) + 1, proposer: self.me.replica_id };
         self.learn_round(number.round);
         self.depose(acts);
         self.promised = number;
@@ -420,7 +420,7 @@
         Some(number)
     }
 
-    fn ask(&mut self, number: Number, acts: &mut Vec<Act>) {
+    fn ask(&mut self, number: ProposalNumber, acts: &mut Vec<Act>) {
         let Some(round) = self.round.as_mut().filter(|r| r.number == number) else { return };
         if round.step != Step::Asking {
             return;
@@ -428,25 +428,25 @@
         round.step = Step::Preparing(BTreeMap::new());
         let others: Vec<Node> = round.asked.iter().filter(|n| **n != self.me).copied().collect();
         for node in others {
-            self.say(node.ip, Between::Prepare(number), acts);
+            self.say(node.ip, PeerMessage::Prepare(number), acts);
         }
         self.on_promise(self.me, number, self.epoch.clone(), acts);
     }
 
-    fn on_promise(&mut self, from: Node, number: Number, epoch: Option<Epoch>, acts: &mut Vec<Act>) {
+    fn on_promise(&mut self, from: Node, number: ProposalNumber, epoch: Option<Epoch>, acts: &mut Vec<Act>) {
         let Some(round) = self.round.as_mut().filter(|r| r.number == number) else { return };
         let Step::Preparing(promises) = &mut round.step else { return };
         promises.insert(from, epoch);
         let newest = promises.values().flatten().max_by_key(|e| e.number);
         let Some(newest) = newest.cloned() else { return };
         let more: Vec<Node> =
-            newest.core.iter().chain(&newest.before).copied().filter(|n| !round.asked.contains(n)).collect();
+            newest.core.iter().chain(&newest.previous_core).copied().filter(|n| !round.asked.contains(n)).collect();
         let promised = |node: &Node| promises.contains_key(node);
-        let enough = most(&newest.core, promised) && most(&newest.before, promised);
+        let enough = most(&newest.core, promised) && most(&newest.previous_core, promised);
         let willing: BTreeSet<Node> = promises.keys().copied().collect();
         round.asked.extend(more.iter().copied());
         for node in more {
-            self.say(node.ip, Between::Prepare(number), acts);
+            self.say(node.ip, PeerMessage::Prepare(number), acts);
         }
         if !enough {
             return;
@@ -465,7 +465,7 @@
     pub fn copy(&mut self, mut next: Epoch, acts: &mut Vec<Act>) {
         let Some(round) = self.round.as_mut().filter(|r| r.number == next.number) else { return };
         let Some(newest) = round.newest.take() else { return };
-        let settled = newest.core == newest.before;
+        let settled = newest.core == newest.previous_core;
         let missing = newest.core.iter().filter(|node| !next.core.contains(node)).count();
         let new = next.core.iter().filter(|node| !newest.core.contains(node)).count();
         if missing > 1 || new > 1 || (missing + new > 0 && !settled) {
@@ -473,12 +473,12 @@
         }
         // Of a change that may have been kept by few the core before may know nothing yet.
         let left_behind = settled || self.whole == Some(newest.number);
-        next.before = if left_behind { newest.core } else { newest.before };
+        next.previous_core = if left_behind { newest.core } else { newest.previous_core };
         round.step = Step::Copying(next.clone(), BTreeSet::new());
         acts.push(Act::GoesOn);
         let whole = self.whole();
         for node in &next.backups {
-            self.say(node.ip, Between::Copy(next.number, whole.clone()), acts);
+            self.say(node.ip, PeerMessage::InstallSnapshot(next.number, whole.clone()), acts);
         }
         if next.backups.is_empty() {
             self.copied_all(acts);
@@ -486,11 +486,11 @@
         self.work(acts);
     }
 
-    fn whole(&self) -> Whole {
-        Whole { document: self.document.as_deref().cloned(), ledger: Ledger::clone(&self.ledger) }
+    fn whole(&self) -> Snapshot {
+        Snapshot { document: self.document.as_deref().cloned(), ledger: Ledger::clone(&self.ledger) }
     }
 
-    fn on_copied(&mut self, from: Node, number: Number, acts: &mut Vec<Act>) {
+    fn on_copied(&mut self, from: Node, number: ProposalNumber, acts: &mut Vec<Act>) {
         let Some(round) = self.round.as_mut().filter(|r| r.number == number) else { return };
         let Step::Copying(epoch, copied) = &mut round.step else { return };
         copied.insert(from);
@@ -505,22 +505,22 @@
         let epoch = epoch.clone();
         round.step = Step::Keeping(epoch.clone(), BTreeSet::new());
         acts.push(Act::GoesOn);
-        let all: BTreeSet<Node> = epoch.core.iter().chain(&epoch.before).copied().collect();
+        let all: BTreeSet<Node> = epoch.core.iter().chain(&epoch.previous_core).copied().collect();
         for node in all {
-            self.say(node.ip, Between::Keep(epoch.clone()), acts);
+            self.say(node.ip, PeerMessage::AcceptEpoch(epoch.clone()), acts);
         }
     }
 
-    fn on_kept(&mut self, from: Node, number: Number, acts: &mut Vec<Act>) {
+    fn on_kept(&mut self, from: Node, number: ProposalNumber, acts: &mut Vec<Act>) {
         let Some(round) = self.round.as_mut().filter(|r| r.number == number) else { return };
         let Step::Keeping(epoch, kept) = &mut round.step else { return };
         kept.insert(from);
         let has = |node: &Node| kept.contains(node);
-        if !(most(&epoch.core, has) && most(&epoch.before, has)) {
+        if !(most(&epoch.core, has) && most(&epoch.previous_core, has)) {
             return;
         }
         let backups = epoch.backups.clone();
-        self.whole = Some(number).filter(|_| epoch.core != epoch.before);
+        self.whole = Some(number).filter(|_| epoch.core != epoch.previous_core);
         self.round = None;
         self.leading = Some(Leading { number, backups, holding: None, checks: BTreeMap::new() });
         acts.push(Act::Leads(number));
@@ -544,7 +544,7 @@
     /// Takes into what is held what is free and newer.
     fn enter(&mut self, orders: Orders) {
         let ledger = Arc::make_mut(&mut self.ledger);
-        orders.entries.into_iter().for_each(|(version, digest)| ledger.enter(version, digest));
+        orders.entries.into_iter().for_each(|(version, digest)| ledger.record(version, digest));
         if let Some(document) = orders.document {
             if self.document.as_ref().is_none_or(|d| d.version < document.version) {
                 self.document = Some(document);
@@ -556,7 +556,7 @@
     /// way. An order below what is held changes nothing but the ledger.
     pub fn hold(&mut self, mut orders: Orders, acts: &mut Vec<Act>) {
         let newest = self.document.as_ref().map(|d| d.version);
-        orders.entries.retain(|version, _| self.ledger.known(*version) == Known::Free);
+        orders.entries.retain(|version, _| self.ledger.lookup(*version) == VersionState::Free);
         let entries = &orders.entries;
         let newer = |d: &Arc<Document>| newest < Some(d.version) && entries.contains_key(&d.version);
         orders.document = orders.document.filter(newer);
@@ -565,14 +565,14 @@
         let (number, backups) = (leading.number, leading.backups.clone());
         leading.holding = Some((orders.clone(), BTreeSet::new()));
         for node in backups {
-            self.say(node.ip, Between::Hold(number, orders.change()), acts);
+            self.say(node.ip, PeerMessage::Replicate(number, orders.change()), acts);
         }
         self.enter(orders);
         acts.push(Act::Keep(Then::Held(self.me.ip, number, highest)));
         self.work(acts);
     }
 
-    fn on_held(&mut self, from: Node, number: Number, highest: u32, acts: &mut Vec<Act>) {
+    fn on_held(&mut self, from: Node, number: ProposalNumber, highest: u32, acts: &mut Vec<Act>) {
         let Some(leading) = self.leading.as_mut().filter(|l| l.number == number) else { return };
         let Some((_, held)) = leading.holding.as_mut().filter(|(o, _)| o.highest() == Some(highest)) else {
             return;
@@ -589,28 +589,28 @@
 
     /// Says again what nobody has answered: it may have been lost with a line. Whatever comes twice does no harm.
     pub fn again(&mut self, acts: &mut Vec<Act>) {
-        let mut words: Vec<(Ipv4Addr, Between)> = Vec::new();
+        let mut words: Vec<(Ipv4Addr, PeerMessage)> = Vec::new();
         if let Some(Round { number, step, asked, .. }) = &self.round {
             match step {
                 Step::Asking => {}
                 Step::Preparing(promises) => {
                     let left = asked.iter().filter(|n| !promises.contains_key(n));
-                    words.extend(left.map(|n| (n.ip, Between::Prepare(*number))));
+                    words.extend(left.map(|n| (n.ip, PeerMessage::Prepare(*number))));
                 }
                 Step::Copying(..) => {
                     let left = self.not_copied().into_iter();
-                    words.extend(left.map(|n| (n.ip, Between::Copy(*number, self.whole()))));
+                    words.extend(left.map(|n| (n.ip, PeerMessage::InstallSnapshot(*number, self.whole()))));
                 }
                 Step::Keeping(epoch, kept) => {
-                    let all: BTreeSet<&Node> = epoch.core.iter().chain(&epoch.before).collect();
+                    let all: BTreeSet<&Node> = epoch.core.iter().chain(&epoch.previous_core).collect();
                     let left = all.into_iter().filter(|n| !kept.contains(n));
-                    words.extend(left.map(|n| (n.ip, Between::Keep(epoch.clone()))));
+                    words.extend(left.map(|n| (n.ip, PeerMessage::AcceptEpoch(epoch.clone()))));
                 }
             }
         }
         if let Some(Leading { number, holding: Some((orders, _)), .. }) = &self.leading {
             let late = self.late().into_iter();
-            words.extend(late.map(|n| (n.ip, Between::Hold(*number, orders.change()))));
+            words.extend(late.map(|n| (n.ip, PeerMessage::Replicate(*number, orders.change()))));
         }
         // What it says to itself is on its way to the disk.
         let me = self.me.ip;
@@ -631,12 +631,12 @@
             leading.checks.pop_first();
         }
         for node in left {
-            self.say(node.ip, Between::Check(number, nonce), acts);
+            self.say(node.ip, PeerMessage::ConfirmEpoch(number, nonce), acts);
         }
         self.work(acts);
     }
 
-    fn on_checked(&mut self, from: Node, number: Number, nonce: u64, acts: &mut Vec<Act>) {
+    fn on_checked(&mut self, from: Node, number: ProposalNumber, nonce: u64, acts: &mut Vec<Act>) {
         let Some(leading) = self.leading.as_mut().filter(|l| l.number == number) else { return };
         let Some(checked) = leading.checks.get_mut(&nonce) else { return };
         checked.insert(from);
--- a/crates/marker/src/calls.rs
+++ b/crates/marker/src/calls.rs
@@ -4,7 +4,7 @@
 use crate::state::Call;
 use bytes::Bytes;
 use granitelead_common::configuration::BODY_MAX;
-use granitelead_common::kinds::Kind;
+use granitelead_common::error_kinds::ErrorKind;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, CONTENT_TYPE, LOCATION, RETRY_AFTER};
@@ -95,15 +95,15 @@
 /// What to answer where it is none.
 pub async fn read(request: Request<Incoming>) -> Result<Call, Reply> {
     let Some((call, name)) = find(request.method(), request.uri().path()) else {
-        return Err(Reply::fault(Kind::Unknown, "no such call"));
+        return Err(Reply::fault(ErrorKind::Unknown, "no such call"));
     };
     let body = Limited::new(request.into_body(), call.body_max).collect();
     match tokio::time::timeout(BODY_TIME, body).await {
-        Err(_) => Err(Reply::fault(Kind::TooSlow, "the body did not come in time")),
+        Err(_) => Err(Reply::fault(ErrorKind::TooSlow, "the body did not come in time")),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-            Err(Reply::fault(Kind::TooLarge, format_args!("{} bytes are allowed", call.body_max)))
+            Err(Reply::fault(ErrorKind::TooLarge, format_args!("{} bytes are allowed", call.body_max)))
         }
-        Ok(Err(e)) => Err(Reply::fault(Kind::Malformed, e)),
+        Ok(Err(e)) => Err(Reply::fault(ErrorKind::Malformed, e)),
         Ok(Ok(body)) => Ok((call.take)(name, body.to_bytes().into())),
     }
 }
@@ -117,9 +117,9 @@
             let body = serde_json::json!({"heartbeat-address": format!("{ip}:{}", control.port())});
             (200, Bytes::from(body.to_string()))
         }
-        Reply::Elsewhere(_) => (Kind::Elsewhere.status(), Bytes::new()),
+        Reply::Elsewhere(_) => (ErrorKind::Redirected.status(), Bytes::new()),
         Reply::Fault(kind, text) => {
-            let row = kind.row();
+            let row = kind.response();
             let body = serde_json::json!({"error": row.name, "what": text, "advice": row.advice});
             (row.status, Bytes::from(body.to_string()))
         }
@@ -168,7 +168,7 @@
     #[gtest]
     fn a_fault_names_its_kind_and_what_to_do() {
         let control = SocketAddrV4::new([10, 0, 0, 1].into(), 8042);
-        let answer = write(Reply::fault(Kind::Uncertain, "x"), "/y", control, false);
+        let answer = write(Reply::fault(ErrorKind::Uncertain, "x"), "/y", control, false);
         expect_that!(answer.status().as_u16(), eq(503));
         expect_true!(answer.headers().contains_key(RETRY_AFTER));
         let answer = write(Reply::elsewhere([10, 0, 0, 4].into()), "/y", control, true);
--- a/crates/marker/src/core.rs
+++ b/crates/marker/src/core.rs
@@ -11,8 +11,8 @@
 use crate::agreement::{Act, Agreement, Then};
 use crate::duties::Duties;
 use crate::parts::{Keeping, Millis, Output};
-use granitelead_control_protocol::words::{
-    Between, Digest, Document, Duty, Epoch, Ledger, Node, Number, Standing,
+use granitelead_control_protocol::messages::{
+    PeerMessage, Digest, Document, Duty, Epoch, Ledger, Node, ProposalNumber, MarkerStatus,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -69,7 +69,7 @@
     hears: Vec<Ipv4Addr>,
     sure: Option<u32>,
     sure_sent: Millis,
-    standing: Standing,
+    standing: MarkerStatus,
 }
 
 impl Heard {
@@ -82,7 +82,7 @@
             hears: Vec::new(),
             sure: None,
             sure_sent: 0,
-            standing: Standing::default(),
+            standing: MarkerStatus::default(),
         }
     }
 
@@ -122,8 +122,8 @@
 /// What is done once a write is on disk.
 enum After {
     Agreed(Then),
-    Ballot(Duty, Number),
-    Vote(Ipv4Addr, Duty, Number),
+    Ballot(Duty, ProposalNumber),
+    Vote(Ipv4Addr, Duty, ProposalNumber),
 }
 
 /// What one sees of the core from outside.
@@ -142,7 +142,7 @@
     /// Rounds begun and won here.
     pub rounds: (u64, u64),
     /// Who holds each duty, by what is heard here, and under which number.
-    pub duties: Vec<(Duty, Option<(Node, Number)>)>,
+    pub duties: Vec<(Duty, Option<(Node, ProposalNumber)>)>,
     /// How large the core must be, and how many must hold everything, for the losses to be borne.
     pub needed: (usize, usize),
     /// What is missing for them, as it was said last (each 150 ms); see [`Core::shortages`].
@@ -157,7 +157,7 @@
     duties: Duties,
     seeds: Vec<Ipv4Addr>,
     losses: usize,
-    standing: Standing,
+    standing: MarkerStatus,
     rng: fastrand::Rng,
     now: Millis,
     started: Millis,
@@ -166,7 +166,7 @@
     said_outside: Millis,
     primary: Option<(Ipv4Addr, Millis)>,
     /// The newest epoch that somebody was heard to lead.
-    led_epoch: Number,
+    led_epoch: ProposalNumber,
     /// What is missing, as it was said last.
     short: Vec<String>,
     suspect_after: Millis,
@@ -192,11 +192,11 @@
 
 /// The identity of a founder.
 fn founder(ip: Ipv4Addr) -> Node {
-    Node { ip, folder: u64::from(u32::from(ip)) }
+    Node { ip, replica_id: u64::from(u32::from(ip)) }
 }
 
 fn empty(node: Node) -> Keeping {
-    let zero = Number::default();
+    let zero = ProposalNumber::default();
     Keeping {
         node,
         promised: zero,
@@ -214,13 +214,13 @@
 /// is true for one process only at an address, so that no name is used twice.
 pub fn begin(ip: Ipv4Addr, seeds: &[Ipv4Addr], first_start: bool, drawn: u64) -> Keeping {
     if !(first_start && seeds.contains(&ip)) {
-        return empty(Node { ip, folder: drawn | 1 << 63 });
+        return empty(Node { ip, replica_id: drawn | 1 << 63 });
     }
     let mut core: Vec<Node> = seeds.iter().copied().map(founder).collect();
     core.sort();
     core.dedup();
     let founding =
-        Epoch { number: Number::default(), before: core.clone(), backups: core.clone(), core, primary: None };
+        Epoch { number: ProposalNumber::default(), previous_core: core.clone(), backups: core.clone(), core, primary: None };
     let (node, epoch) = (founder(ip), Some(founding));
     Keeping { epoch, ..empty(node) }
 }
@@ -241,7 +241,7 @@
             agreement: Agreement::new(keeping),
             seeds: seeds.to_vec(),
             losses,
-            standing: Standing::default(),
+            standing: MarkerStatus::default(),
             rng,
             now,
             started: now,
@@ -249,7 +249,7 @@
             said: 0,
             said_outside: 0,
             primary: None,
-            led_epoch: Number::default(),
+            led_epoch: ProposalNumber::default(),
             short: Vec::new(),
             suspect_after,
             round_begun: now,
@@ -274,7 +274,7 @@
 
     /// The same marker in a zone, with a disk or without.
     pub fn placed(mut self, zone: &str, disk: bool) -> Core {
-        self.standing = Standing { zone: zone.to_owned(), forgets: !disk, ..Standing::default() };
+        self.standing = MarkerStatus { zone: zone.to_owned(), is_volatile: !disk, ..MarkerStatus::default() };
         self
     }
 
@@ -295,7 +295,7 @@
             duties: self.duties.holders(self.now),
             needed: (self.core_needed(), self.losses + 1),
             short: self.short.clone(),
-            leaves: self.standing.leaves,
+            leaves: self.standing.is_leaving,
         }
     }
 
@@ -305,12 +305,12 @@
     }
 
     /// The number under which this marker has a duty now.
-    pub fn holds(&self, duty: Duty) -> Option<Number> {
+    pub fn holds(&self, duty: Duty) -> Option<ProposalNumber> {
         self.duties.held(duty).filter(|_| self.hears_most())
     }
 
     /// Whether what somebody does as the holder of a duty still counts.
-    pub fn allows(&mut self, duty: Duty, number: Number) -> bool {
+    pub fn allows(&mut self, duty: Duty, number: ProposalNumber) -> bool {
         self.duties.allows(duty, number)
     }
 
@@ -333,12 +333,12 @@
             match self.then.pop_front() {
                 Some((_, After::Agreed(then))) => self.agree(out, |a, acts| a.written(then, acts)),
                 Some((_, After::Vote(to, duty, number))) => {
-                    out.push(Output::Send(to, Between::Vote(duty, number)));
+                    out.push(Output::Send(to, PeerMessage::Vote(duty, number)));
                 }
                 Some((_, After::Ballot(duty, number))) => {
                     let (me, core) = (self.me(), self.voters());
                     for node in core.iter().filter(|node| **node != me) {
-                        out.push(Output::Send(node.ip, Between::Ballot(duty, number)));
+                        out.push(Output::Send(node.ip, PeerMessage::RequestVote(duty, number)));
                     }
                     self.duties.on_vote(self.now, me, duty, number, &core);
                 }
@@ -392,32 +392,32 @@
     }
 
     /// Takes in what another marker says.
-    pub fn on_word(&mut self, now: Millis, from: Node, word: Between, out: &mut Vec<Output>) {
+    pub fn on_word(&mut self, now: Millis, from: Node, word: PeerMessage, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match word {
-            Between::Hear { epoch, leads, led, sure, others, duties, standing } => {
+            PeerMessage::Heartbeat { epoch, is_primary: leads, has_primary: led, committed: sure, reachable: others, duties, status: standing } => {
                 self.duties.on_hear(self.now, from, &duties);
                 self.on_hear(from, epoch, leads, led, sure, &others, standing, out);
             }
-            Between::Ballot(duty, number) => {
+            PeerMessage::RequestVote(duty, number) => {
                 if self.voters().contains(&from) && self.duties.on_ballot(self.now, from, duty, number) {
                     self.keep(After::Vote(from.ip, duty, number), out);
                 }
             }
-            Between::Vote(duty, number) => {
+            PeerMessage::Vote(duty, number) => {
                 let core = self.voters();
                 self.duties.on_vote(self.now, from, duty, number, &core);
             }
-            Between::HandOver(number) => {
+            PeerMessage::HandOver(number) => {
                 let mine = |e: &Epoch| e.number == number && e.holds(self.me());
                 let mine = self.agreement.epoch().is_some_and(mine);
-                if mine && self.agreement.asks().is_none() && !self.standing.leaves && !self.is_old() {
+                if mine && self.agreement.asks().is_none() && !self.standing.is_leaving && !self.is_old() {
                     self.begin_round(out);
                 }
             }
             word => {
                 let prepare = match &word {
-                    Between::Prepare(number) => Some(*number),
+                    PeerMessage::Prepare(number) => Some(*number),
                     _ => None,
                 };
                 self.agree(out, |a, acts| a.take(from, word, acts));
@@ -462,7 +462,7 @@
         } else if self.agreement.asks().is_none() {
             self.watch_as_other(out);
         }
-        let may = self.voters().contains(&self.me()) && !self.standing.leaves;
+        let may = self.voters().contains(&self.me()) && !self.standing.is_leaving;
         for (duty, number) in self.duties.on_tick(now, may && self.hears_most()) {
             self.keep(After::Ballot(duty, number), out);
         }
--- a/crates/marker/src/core/counting.rs
+++ b/crates/marker/src/core/counting.rs
@@ -58,7 +58,7 @@
     pub fn all_count_together(&self, counts_with: &BTreeSet<Ipv4Addr>) -> bool {
         let Some(epoch) = self.agreement.epoch() else { return false };
         let core = epoch.core.iter().map(|node| node.ip);
-        let stays = |heard: &&Heard| heard.at.is_some() && !heard.standing.leaves;
+        let stays = |heard: &&Heard| heard.at.is_some() && !heard.standing.is_leaving;
         let heard = self.heard.values().filter(stays).map(|heard| heard.node.ip);
         core.chain(heard).all(|ip| ip == self.me().ip || counts_with.contains(&ip))
     }
--- a/crates/marker/src/core/hearing.rs
+++ b/crates/marker/src/core/hearing.rs
@@ -3,7 +3,7 @@
 use super::{Core, Heard, BROKE, HEAR, HEARD, HEAR_OUTSIDE, KNOWN_MAX};
 use crate::agreement::most;
 use crate::parts::{Millis, Output};
-use granitelead_control_protocol::words::{Between, Document, Node, Number, Standing};
+use granitelead_control_protocol::messages::{PeerMessage, Document, Node, ProposalNumber, MarkerStatus};
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
@@ -11,7 +11,7 @@
     /// All other markers that are known.
     pub fn known(&self) -> BTreeSet<Ipv4Addr> {
         let core = self.agreement.epoch().into_iter();
-        let core = core.flat_map(|e| e.core.iter().chain(&e.before)).map(|node| node.ip);
+        let core = core.flat_map(|e| e.core.iter().chain(&e.previous_core)).map(|node| node.ip);
         let mut known: BTreeSet<Ipv4Addr> = core.chain(self.seeds.iter().copied()).collect();
         known.extend(self.heard.keys().copied());
         known.remove(&self.me().ip);
@@ -34,7 +34,7 @@
         let epoch = self.agreement.epoch().map(|e| e.number).unwrap_or_default();
         let (leads, led, others) = (self.agreement.leads().is_some(), self.has_primary(), self.live());
         let sure = self.agreement.sure().map(|d| d.version);
-        let standing = Standing { group: self.group().into_iter().collect(), ..self.standing.clone() };
+        let standing = MarkerStatus { group: self.group().into_iter().collect(), ..self.standing.clone() };
         let all = self.now >= self.said_outside + HEAR_OUTSIDE;
         if all {
             self.said_outside = self.now;
@@ -44,12 +44,12 @@
         let mine = core.contains(&self.me());
         for ip in self.known().into_iter().filter(|ip| all || mine && inside(*ip)) {
             let (others, duties, standing) = (others.clone(), self.duties.mine(), standing.clone());
-            out.push(Output::Send(ip, Between::Hear { epoch, leads, led, sure, others, duties, standing }));
+            out.push(Output::Send(ip, PeerMessage::Heartbeat { epoch, is_primary: leads, has_primary: led, committed: sure, reachable: others, duties, status: standing }));
         }
     }
 
     /// What is known of a marker's standing; of one that was never heard nothing is held against it.
-    pub(super) fn standing(&self, node: Node) -> Standing {
+    pub(super) fn standing(&self, node: Node) -> MarkerStatus {
         if node == self.me() {
             return self.standing.clone();
         }
@@ -105,12 +105,12 @@
     pub(super) fn on_hear(
         &mut self,
         from: Node,
-        epoch: Number,
+        epoch: ProposalNumber,
         leads: bool,
         led: bool,
         sure: Option<u32>,
         others: &[Ipv4Addr],
-        standing: Standing,
+        standing: MarkerStatus,
         out: &mut Vec<Output>,
     ) {
         let (now, me) = (self.now, self.me());
@@ -139,7 +139,7 @@
         // Those that others hear are dialled too; they are heard once they answer.
         for ip in others.iter().filter(|ip| **ip != me.ip) {
             if self.heard.len() < KNOWN_MAX {
-                let node = Node { ip: *ip, folder: 0 };
+                let node = Node { ip: *ip, replica_id: 0 };
                 self.heard.entry(*ip).or_insert_with(|| Heard::named(node));
             }
         }
@@ -155,14 +155,14 @@
         }
         let tells = self.agreement.leads().is_some();
         if let Some(epoch) = self.agreement.epoch().filter(|_| tells && epoch < mine) {
-            out.push(Output::Send(from.ip, Between::Latest(epoch.clone())));
+            out.push(Output::Send(from.ip, PeerMessage::LatestEpoch(epoch.clone())));
         }
         let behind =
             self.agreement.sure().filter(|mine| sure.is_none_or(|theirs| theirs < mine.version)).cloned();
         if let Some(document) = behind.filter(|_| tells || !led) {
             if let Some(heard) = self.heard.get_mut(&from.ip).filter(|h| now >= h.sure_sent + 2 * HEAR) {
                 heard.sure_sent = now;
-                out.push(Output::Send(from.ip, Between::Sure(Document::clone(&document))));
+                out.push(Output::Send(from.ip, PeerMessage::Committed(Document::clone(&document))));
             }
         }
     }
--- a/crates/marker/src/core/orders.rs
+++ b/crates/marker/src/core/orders.rs
@@ -7,9 +7,9 @@
 use super::{Asked, Call, Core, CALL, CALLS_MAX, HEARD};
 use crate::agreement::{Act, Orders};
 use crate::parts::{Millis, Output, Reply};
-use granitelead_common::kinds::Kind;
-use granitelead_control_protocol::ledger::Known;
-use granitelead_control_protocol::words::{Between, Digest, Document};
+use granitelead_common::error_kinds::ErrorKind;
+use granitelead_control_protocol::ledger::VersionState;
+use granitelead_control_protocol::messages::{PeerMessage, Digest, Document};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
     pub(super) fn on_safe(&mut self, document: Arc<Document>, out: &mut Vec<Output>) {
         if self.agreement.leads().is_some() {
             for ip in self.live() {
-                out.push(Output::Send(ip, Between::Sure(Document::clone(&document))));
+                out.push(Output::Send(ip, PeerMessage::Committed(Document::clone(&document))));
             }
         }
         out.push(Output::Sure(document.clone()));
@@ -46,7 +46,7 @@
         let reply = match &call.asked {
             Asked::Read { .. } => match self.agreement.sure() {
                 Some(document) => Reply::document(document.clone()),
-                None => Reply::fault(Kind::Unknown, "there is no configuration yet"),
+                None => Reply::fault(ErrorKind::Unknown, "there is no configuration yet"),
             },
             Asked::Replace { document, digest, .. } => self.by_ledger(document.version, *digest),
         };
@@ -55,15 +55,15 @@
 
     /// What an order is answered whose number was not free when its check began.
     fn by_ledger(&mut self, version: u32, digest: Digest) -> Reply {
-        match self.agreement.ledger().known(version) {
-            Known::Content(held) if held == digest => Reply::done(),
-            Known::Content(held) => {
+        match self.agreement.ledger().lookup(version) {
+            VersionState::Content(held) if held == digest => Reply::done(),
+            VersionState::Content(held) => {
                 self.refused += 1;
                 log::info!("{version:08x} stands for {held}, and {digest} is refused");
                 let what = format!("version {version:08x} stands for content {held}, and this is {digest}");
-                Reply::fault(Kind::Conflict, what)
+                Reply::fault(ErrorKind::Conflict, what)
             }
-            Known::Forgotten | Known::Free => forgotten(version),
+            VersionState::Forgotten | VersionState::Free => forgotten(version),
         }
     }
 
@@ -100,10 +100,10 @@
     pub(super) fn on_call(&mut self, now: Millis, id: u64, asked: Asked, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         if self.calls.len() >= CALLS_MAX {
-            return out.push(Output::Answer(id, Reply::fault(Kind::NoRoom, "too many calls wait")));
+            return out.push(Output::Answer(id, Reply::fault(ErrorKind::Overloaded, "too many calls wait")));
         }
-        if self.standing.leaves && self.agreement.leads().is_none() {
-            return out.push(Output::Answer(id, Reply::fault(Kind::NotReady, "this marker leaves")));
+        if self.standing.is_leaving && self.agreement.leads().is_none() {
+            return out.push(Output::Answer(id, Reply::fault(ErrorKind::NotReady, "this marker leaves")));
         }
         self.calls.push(Call { id, asked, until: self.now + CALL });
         self.go_on(out);
@@ -114,7 +114,7 @@
         self.calls.retain(|call| {
             let late = self.now >= call.until;
             if late {
-                out.push(Output::Answer(call.id, Reply::fault(Kind::Uncertain, "not certain in time")));
+                out.push(Output::Answer(call.id, Reply::fault(ErrorKind::Uncertain, "not certain in time")));
             }
             !late
         });
@@ -132,14 +132,14 @@
         let (mut orders, mut checks, mut lost) = (Orders::default(), Vec::new(), Vec::new());
         for call in &mut self.calls {
             let Asked::Replace { document, digest, nonce: nonce @ None } = &mut call.asked else { continue };
-            match self.agreement.ledger().known(document.version) {
-                Known::Free => orders.add(document, *digest),
-                Known::Content(_) => {
+            match self.agreement.ledger().lookup(document.version) {
+                VersionState::Free => orders.add(document, *digest),
+                VersionState::Content(_) => {
                     self.nonce += 1;
                     *nonce = Some(self.nonce);
                     checks.push(self.nonce);
                 }
-                Known::Forgotten => lost.push((call.id, document.version)),
+                VersionState::Forgotten => lost.push((call.id, document.version)),
             }
         }
         for (id, version) in lost {
@@ -171,5 +171,5 @@
 
 /// No clear answer: whether the number stands for this content is not known any more.
 fn forgotten(version: u32) -> Reply {
-    Reply::fault(Kind::Uncertain, format!("version {version:08x} is below those that are remembered"))
+    Reply::fault(ErrorKind::Uncertain, format!("version {version:08x} is below those that are remembered"))
 }
--- a/crates/marker/src/core/rounds.rs
+++ b/crates/marker/src/core/rounds.rs
@@ -3,7 +3,7 @@
 use super::{Core, Heard, ALONE, DISK, FINISH, HEAR, LEFT, LOST, SLOW, SLOW_FOR, STANDS_IN, SUSPECT};
 use crate::agreement::{most, Agreement};
 use crate::parts::{Millis, Output};
-use granitelead_control_protocol::words::{Between, Epoch, Node, Number, Standing};
+use granitelead_control_protocol::messages::{PeerMessage, Epoch, Node, ProposalNumber, MarkerStatus};
 use std::collections::BTreeSet;
 
 impl Core {
@@ -25,7 +25,7 @@
     /// The epoch to follow, unless too few are there to hold what it needs.
     pub(super) fn next_epoch(
         &self,
-        number: Number,
+        number: ProposalNumber,
         newest: &Epoch,
         willing: &BTreeSet<Node>,
     ) -> Option<Epoch> {
@@ -36,13 +36,13 @@
         let mut backups: Vec<Node> = core.iter().filter(can).copied().collect();
         let is_slow = |node: &Node| self.slow.get(&node.ip).is_some_and(|until| self.now < *until);
         // One that leaves holds only where too few others can, and says then what it held.
-        let stays = |node: &Node| !self.standing(*node).leaves;
+        let stays = |node: &Node| !self.standing(*node).is_leaving;
         if backups.iter().filter(|node| stays(node)).count() >= wanted {
             backups.retain(stays);
         }
         // Of those that are as good, zones without a holder come first, then who holds already.
         let rank =
-            |node: &Node| (!stays(node), is_slow(node), !self.hears(*node), self.standing(*node).forgets);
+            |node: &Node| (!stays(node), is_slow(node), !self.hears(*node), self.standing(*node).is_volatile);
         let mut zones = vec![self.standing.zone.clone()];
         for place in 0..wanted.min(backups.len()) {
             let zone = |node: &Node| self.standing(*node).zone;
@@ -55,7 +55,7 @@
         (backups.len() == wanted).then(|| Epoch {
             number,
             core,
-            before: newest.core.clone(),
+            previous_core: newest.core.clone(),
             primary,
             backups,
         })
@@ -71,28 +71,28 @@
     pub(super) fn next_core(&self, newest: &Epoch) -> Vec<Node> {
         let mut core = newest.core.clone();
         // One change at a time, and only from a core that has settled.
-        if newest.core != newest.before {
+        if newest.core != newest.previous_core {
             return core;
         }
         let outside = self.heard.values().filter(|h| h.lately(self.now) && !newest.core.contains(&h.node));
-        let mut outside: Vec<(Node, &Standing)> = outside.map(|h| (h.node, &h.standing)).collect();
+        let mut outside: Vec<(Node, &MarkerStatus)> = outside.map(|h| (h.node, &h.standing)).collect();
         let members = |zone: &str| core.iter().filter(|node| self.standing(**node).zone == zone).count();
         // Whoever comes in the place of its own former self comes first, then whoever keeps what it holds, then the
         // zone with the fewest.
         outside.sort_by_key(|(node, standing)| {
             let back = core.iter().any(|other| other.ip == node.ip);
-            (standing.leaves, !back, standing.forgets, members(&standing.zone), *node)
+            (standing.is_leaving, !back, standing.is_volatile, members(&standing.zone), *node)
         });
-        let Some((node, standing)) = outside.first().filter(|(_, standing)| !standing.leaves) else {
+        let Some((node, standing)) = outside.first().filter(|(_, standing)| !standing.is_leaving) else {
             return core;
         };
-        let patience = if standing.forgets { STANDS_IN } else { LOST };
+        let patience = if standing.is_volatile { STANDS_IN } else { LOST };
         let silent = |other: &Node| self.silent_for(*other) > patience;
-        let forgets = |other: &Node| *other != self.me() && self.standing(*other).forgets;
+        let forgets = |other: &Node| *other != self.me() && self.standing(*other).is_volatile;
         let place = core.iter().position(|other| other.ip == node.ip);
         let place = place.or_else(|| core.iter().position(silent));
-        let place = place.or_else(|| core.iter().position(forgets).filter(|_| !standing.forgets));
-        let waited = !standing.forgets || self.now > self.started + STANDS_IN;
+        let place = place.or_else(|| core.iter().position(forgets).filter(|_| !standing.is_volatile));
+        let waited = !standing.is_volatile || self.now > self.started + STANDS_IN;
         match place {
             Some(place) => core[place] = *node,
             None if core.len() < self.core_needed() && waited => core.push(*node),
@@ -125,7 +125,7 @@
         let since = self.primary.map_or(self.started, |(_, at)| at);
         let me = self.me();
         // One that leaves takes over only where nobody else does.
-        let patience = self.suspect_after + if self.standing.leaves { LEFT } else { 0 };
+        let patience = self.suspect_after + if self.standing.is_leaving { LEFT } else { 0 };
         if !epoch.holds(me) || self.is_old() || self.now < since + patience || self.now < self.next_round {
             return;
         }
@@ -147,12 +147,12 @@
             log::info!("most of the core is not heard");
             return self.agree(out, Agreement::depose);
         }
-        let keeps = |node: &&Node| self.hears(**node) && !self.standing(**node).forgets;
-        if let Some(node) = backups.iter().find(keeps).filter(|_| self.standing.forgets) {
+        let keeps = |node: &&Node| self.hears(**node) && !self.standing(**node).is_volatile;
+        if let Some(node) = backups.iter().find(keeps).filter(|_| self.standing.is_volatile) {
             if !self.agreement.is_holding() && now >= self.next_round {
                 log::info!("another with a disk takes over");
                 self.next_round = now + SLOW_FOR;
-                out.push(Output::Send(node.ip, Between::HandOver(number)));
+                out.push(Output::Send(node.ip, PeerMessage::HandOver(number)));
                 return self.agree(out, Agreement::depose);
             }
         }
@@ -161,17 +161,17 @@
             self.next_round = now + SLOW_FOR;
             self.agree(out, Agreement::depose);
             for node in backups {
-                out.push(Output::Send(node.ip, Between::HandOver(number)));
+                out.push(Output::Send(node.ip, PeerMessage::HandOver(number)));
             }
             return;
         }
         let Some(epoch) = self.agreement.epoch() else { return };
         let late = if now > self.holding_since + SLOW { self.agreement.late() } else { Vec::new() };
         let silent = backups.iter().any(|node| !self.hears(*node));
-        let leaving = backups.iter().any(|node| self.standing(*node).leaves);
+        let leaving = backups.iter().any(|node| self.standing(*node).is_leaving);
         let leaving =
             leaving && self.stay().iter().filter(|node| **node != self.me()).count() >= backups.len();
-        let unsettled = epoch.core != epoch.before || self.next_core(epoch) != epoch.core;
+        let unsettled = epoch.core != epoch.previous_core || self.next_core(epoch) != epoch.core;
         let went_back = backups.iter().any(|node| self.went_back.contains(node));
         let until = now + SLOW_FOR;
         let any_late = !late.is_empty();
@@ -186,16 +186,16 @@
     pub fn shortages(&self) -> Vec<String> {
         let Some(epoch) = self.agreement.epoch() else { return vec!["no core is known".into()] };
         let (losses, needed) = (self.losses, self.core_needed());
-        let there = |node: &&Node| self.hears(**node) && !self.standing(**node).leaves;
+        let there = |node: &&Node| self.hears(**node) && !self.standing(**node).is_leaving;
         let heard = epoch.core.iter().filter(there).count();
         let bears = heard.saturating_sub(epoch.core.len() / 2 + 1);
         let holders = epoch.primary.iter().chain(&epoch.backups).filter(there).count();
         let outside = self.heard.values().filter(|h| h.lately(self.now) && !epoch.core.contains(&h.node));
-        let core = epoch.core.iter().filter(|node| !self.standing(**node).forgets);
-        let disks = core.count() + outside.filter(|h| !h.standing.forgets).count();
-        let forget = epoch.core.iter().filter(|node| self.standing(**node).forgets).count();
+        let core = epoch.core.iter().filter(|node| !self.standing(**node).is_volatile);
+        let disks = core.count() + outside.filter(|h| !h.standing.is_volatile).count();
+        let forget = epoch.core.iter().filter(|node| self.standing(**node).is_volatile).count();
         let mut short = Vec::new();
-        if epoch.core != epoch.before {
+        if epoch.core != epoch.previous_core {
             short.push("the core is being changed".into());
         }
         if epoch.core.len() < needed {
@@ -231,7 +231,7 @@
 
     /// Those of the core that are heard and stay, this marker included if it does.
     fn stay(&self) -> Vec<Node> {
-        let stays = |node: &Node| self.hears(*node) && !self.standing(*node).leaves;
+        let stays = |node: &Node| self.hears(*node) && !self.standing(*node).is_leaving;
         self.voters().into_iter().filter(stays).collect()
     }
 
@@ -239,7 +239,7 @@
     /// [`Core::may_end`].
     pub fn on_leave(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        if std::mem::replace(&mut self.standing.leaves, true) {
+        if std::mem::replace(&mut self.standing.is_leaving, true) {
             return;
         }
         self.agree(out, Agreement::give_up);
@@ -254,7 +254,7 @@
     pub fn may_end(&self) -> bool {
         let me = self.me();
         let Some(epoch) = self.agreement.epoch() else { return true };
-        let leaves = |node: &Node| *node == me || self.standing(*node).leaves;
+        let leaves = |node: &Node| *node == me || self.standing(*node).is_leaving;
         let elsewhere = !epoch.holds(me) && self.led_epoch >= epoch.number;
         elsewhere || epoch.core.iter().all(leaves)
     }
@@ -267,13 +267,13 @@
     /// Leaves what is to come to a backup that stays, once what is under way here is held or has taken too long. Without
     /// one it goes on as primary.
     pub(super) fn hand_over(&mut self, out: &mut Vec<Output>) {
-        if !self.standing.leaves || (self.agreement.is_holding() && self.now < self.leaves_by) {
+        if !self.standing.is_leaving || (self.agreement.is_holding() && self.now < self.leaves_by) {
             return;
         }
         let Some((number, backups)) = self.agreement.leads() else { return };
         let stay = self.stay();
         let Some(node) = backups.iter().find(|node| stay.contains(node)).copied() else { return };
         self.agree(out, Agreement::depose);
-        out.push(Output::Send(node.ip, Between::HandOver(number)));
+        out.push(Output::Send(node.ip, PeerMessage::HandOver(number)));
     }
 }
--- a/crates/marker/src/duties.rs
+++ b/crates/marker/src/duties.rs
@@ -14,7 +14,7 @@
 
 use crate::agreement::most;
 use crate::parts::Millis;
-use granitelead_control_protocol::words::{Duty, Node, Number};
+use granitelead_control_protocol::messages::{Duty, Node, ProposalNumber};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// All duties.
@@ -27,16 +27,16 @@
 const BALLOT: Millis = 600;
 
 struct Ballot {
-    number: Number,
+    number: ProposalNumber,
     begun: Millis,
     votes: BTreeSet<Node>,
 }
 
 #[derive(Default)]
 struct State {
-    holder: Option<(Node, Number, Millis)>,
+    holder: Option<(Node, ProposalNumber, Millis)>,
     highest: u64,
-    held: Option<Number>,
+    held: Option<ProposalNumber>,
     ballot: Option<Ballot>,
     next: Millis,
 }
@@ -44,14 +44,14 @@
 /// The duties as one marker knows them.
 pub struct Duties {
     me: Node,
-    promised: BTreeMap<Duty, Number>,
+    promised: BTreeMap<Duty, ProposalNumber>,
     states: BTreeMap<Duty, State>,
     rng: fastrand::Rng,
 }
 
 impl Duties {
     /// For a marker that has promised this.
-    pub fn new(me: Node, promised: BTreeMap<Duty, Number>, seed: u64, now: Millis) -> Duties {
+    pub fn new(me: Node, promised: BTreeMap<Duty, ProposalNumber>, seed: u64, now: Millis) -> Duties {
         let mut rng = fastrand::Rng::with_seed(seed);
         // Whoever holds one says so before anybody asks.
         let state = |duty| (duty, State { next: now + HEARD + rng.u64(WAIT.0..WAIT.1), ..State::default() });
@@ -60,22 +60,22 @@
     }
 
     /// What has to last.
-    pub fn ballots(&self) -> &BTreeMap<Duty, Number> {
+    pub fn ballots(&self) -> &BTreeMap<Duty, ProposalNumber> {
         &self.promised
     }
 
     /// Those that this marker holds.
-    pub fn mine(&self) -> Vec<(Duty, Number)> {
+    pub fn mine(&self) -> Vec<(Duty, ProposalNumber)> {
         self.states.iter().filter_map(|(duty, state)| state.held.map(|number| (*duty, number))).collect()
     }
 
     /// The number under which this marker holds a duty.
-    pub fn held(&self, duty: Duty) -> Option<Number> {
+    pub fn held(&self, duty: Duty) -> Option<ProposalNumber> {
         self.states.get(&duty).and_then(|state| state.held)
     }
 
     /// Who holds each duty, as far as is heard here.
-    pub fn holders(&self, now: Millis) -> Vec<(Duty, Option<(Node, Number)>)> {
+    pub fn holders(&self, now: Millis) -> Vec<(Duty, Option<(Node, ProposalNumber)>)> {
         let holder = |state: &State| match state.held {
             Some(number) => Some((self.me, number)),
             None => {
@@ -86,7 +86,7 @@
     }
 
     /// Whether what is done under this number still counts; a higher one than any before is remembered.
-    pub fn allows(&mut self, duty: Duty, number: Number) -> bool {
+    pub fn allows(&mut self, duty: Duty, number: ProposalNumber) -> bool {
         let promised = self.promised.entry(duty).or_default();
         let allowed = number >= *promised;
         *promised = number.max(*promised);
@@ -105,7 +105,7 @@
     }
 
     /// Another marker names the duties that it holds.
-    pub fn on_hear(&mut self, now: Millis, from: Node, duties: &[(Duty, Number)]) {
+    pub fn on_hear(&mut self, now: Millis, from: Node, duties: &[(Duty, ProposalNumber)]) {
         for (duty, number) in duties {
             if self.allows(*duty, *number) {
                 if let Some(state) = self.states.get_mut(duty) {
@@ -122,7 +122,7 @@
     }
 
     /// A candidate asks for a vote. If it is to have it, that must be on disk first.
-    pub fn on_ballot(&mut self, now: Millis, from: Node, duty: Duty, number: Number) -> bool {
+    pub fn on_ballot(&mut self, now: Millis, from: Node, duty: Duty, number: ProposalNumber) -> bool {
         let heard = |state: &State| {
             let other = state.holder.is_some_and(|(node, _, at)| node != from && now < at + HEARD);
             other || state.held.is_some()
@@ -139,7 +139,7 @@
     }
 
     /// Somebody of the core votes for this marker.
-    pub fn on_vote(&mut self, now: Millis, from: Node, duty: Duty, number: Number, core: &[Node]) {
+    pub fn on_vote(&mut self, now: Millis, from: Node, duty: Duty, number: ProposalNumber, core: &[Node]) {
         let Some(state) = self.states.get_mut(&duty) else { return };
         let Some(ballot) = state.ballot.as_mut().filter(|ballot| ballot.number == number) else { return };
         ballot.votes.insert(from);
@@ -155,7 +155,7 @@
 
     /// Time passes; `may` says whether this marker may hold duties: it is of the core and hears most of it. Gives the
     /// ballots that it begins: its own vote must be on disk before it asks for others.
-    pub fn on_tick(&mut self, now: Millis, may: bool) -> Vec<(Duty, Number)> {
+    pub fn on_tick(&mut self, now: Millis, may: bool) -> Vec<(Duty, ProposalNumber)> {
         let mut begun = Vec::new();
         for (duty, state) in &mut self.states {
             if !may {
@@ -179,7 +179,7 @@
                 continue;
             }
             let promised = self.promised.entry(*duty).or_default();
-            let number = Number { round: state.highest.max(promised.round) + 1, by: self.me.folder };
+            let number = ProposalNumber { round: state.highest.max(promised.round) + 1, proposer: self.me.replica_id };
             (*promised, state.highest) = (number, number.round);
             state.ballot = Some(Ballot { number, begun: now, votes: BTreeSet::new() });
             begun.push((*duty, number));
@@ -203,11 +203,11 @@
     const D: Duty = Duty::Reaper;
 
     fn nodes() -> Vec<Node> {
-        (1..=3).map(|n| Node { ip: [10, 0, 0, n].into(), folder: u64::from(n) }).collect()
+        (1..=3).map(|n| Node { ip: [10, 0, 0, n].into(), replica_id: u64::from(n) }).collect()
     }
 
     fn duties(node: Node) -> Duties {
-        Duties::new(node, BTreeMap::new(), node.folder, 0)
+        Duties::new(node, BTreeMap::new(), node.replica_id, 0)
     }
 
     /// Two win their first ballots; only the one with the higher number is left, and a majority refuses the other.
@@ -230,7 +230,7 @@
         // Nobody asks again while the holder is heard, and the next number is higher.
         expect_true!(a.on_tick(2_200, true).is_empty());
         expect_false!(
-            c.on_ballot(1_600, core[0], D, Number { round: 9, by: 1 }) && c.holders(1_600).is_empty()
+            c.on_ballot(1_600, core[0], D, ProposalNumber { round: 9, proposer: 1 }) && c.holders(1_600).is_empty()
         );
         expect_that!(a.on_tick(4_000, true)[0].1, gt(second));
     }
@@ -243,7 +243,7 @@
         a.on_vote(1_410, core[0], D, first, &core);
         a.on_vote(1_410, core[2], D, first, &core);
         // It froze: meanwhile the next one was promised here, on disk, and here is started again.
-        let second = Number { round: 2, by: 3 };
+        let second = ProposalNumber { round: 2, proposer: 3 };
         expect_true!(b.on_ballot(9_000, core[2], D, second));
         let mut b = Duties::new(core[1], b.ballots().clone(), 5, 0);
         expect_false!(b.allows(D, first));
--- a/crates/marker/src/lib.rs
+++ b/crates/marker/src/lib.rs
@@ -35,7 +35,7 @@
 
 /// Runs a marker; its exit status.
 pub fn run() -> ExitCode {
-    if let Some(status) = granitelead_common::command::options("marker", HELP) {
+    if let Some(status) = granitelead_common::command::parse_command_line("marker", HELP) {
         return status;
     }
     start()
@@ -43,13 +43,13 @@
 
 /// Runs a marker without looking at the command line; its exit status.
 pub fn start() -> ExitCode {
-    let settings = match granitelead_common::command::begin("marker") {
+    let settings = match granitelead_common::command::initialize("marker") {
         Ok(settings) => settings,
         Err(status) => return status,
     };
     let Some(control) = settings.control else {
         eprintln!("marker: settings: listen-addresses.control-plane: missing: an address is expected");
-        return ExitCode::from(granitelead_common::command::UNUSABLE);
+        return ExitCode::from(granitelead_common::command::EXIT_INVALID_INPUT);
     };
     granitelead_base::run(
         "marker",
--- a/crates/marker/src/parts.rs
+++ b/crates/marker/src/parts.rs
@@ -1,8 +1,8 @@
 //! What the parts of a marker share: what they keep, return and answer.
 
-use granitelead_common::kinds::Kind;
-use granitelead_control_protocol::words::{
-    Between, Document, Down, Duty, Epoch, Instance, Ledger, Node, Number,
+use granitelead_common::error_kinds::ErrorKind;
+use granitelead_control_protocol::messages::{
+    PeerMessage, Document, ToGatekeeper, Duty, Epoch, Instance, Ledger, Node, ProposalNumber,
 };
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -17,9 +17,9 @@
     /// Who this marker is.
     pub node: Node,
     /// No epoch below this one is kept any more.
-    pub promised: Number,
+    pub promised: ProposalNumber,
     /// The round whose copy was taken in last.
-    pub copied: Number,
+    pub copied: ProposalNumber,
     /// The newest epoch that was kept.
     pub epoch: Option<Epoch>,
     /// The configuration that is held.
@@ -29,7 +29,7 @@
     /// The newest version that is known to be safe from loss.
     pub sure: Option<u32>,
     /// Nothing of a lower number is taken from the holder of a duty.
-    pub ballots: BTreeMap<Duty, Number>,
+    pub ballots: BTreeMap<Duty, ProposalNumber>,
 }
 
 /// An answer to a call of a server or an operator.
@@ -44,7 +44,7 @@
     /// Another marker answers it.
     Elsewhere(Ipv4Addr),
     /// It is not done.
-    Fault(Kind, String),
+    Fault(ErrorKind, String),
 }
 
 impl Reply {
@@ -64,7 +64,7 @@
     }
 
     /// It is not done.
-    pub fn fault(kind: Kind, what: impl ToString) -> Reply {
+    pub fn fault(kind: ErrorKind, what: impl ToString) -> Reply {
         Reply::Fault(kind, what.to_string())
     }
 }
@@ -76,9 +76,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Say this to another marker.
-    Send(Ipv4Addr, Between),
+    Send(Ipv4Addr, PeerMessage),
     /// Say this to a gatekeeper.
-    Tell(SessionId, Down),
+    Tell(SessionId, ToGatekeeper),
     /// End the session of a gatekeeper, for which there is no room.
     End(SessionId),
     /// Put this on disk, and say the ticket when it is there.
--- a/crates/marker/src/pushes.rs
+++ b/crates/marker/src/pushes.rs
@@ -3,7 +3,7 @@
 //! The configurations before the newest are kept as far as [`KEPT`] and [`BYTES`] go, so that whoever is near is told a
 //! change and whoever is far the whole: what it costs to catch up does not grow with how many were missed.
 
-use granitelead_control_protocol::words::{Difference, Document, News, Revision};
+use granitelead_control_protocol::messages::{Difference, Document, Update, Revision};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -56,13 +56,13 @@
     }
 
     /// What to tell whoever has this.
-    pub fn news(&mut self, has: Option<Revision>) -> Option<News> {
+    pub fn news(&mut self, has: Option<Revision>) -> Option<Update> {
         let (newest, _) = self.newest.as_ref()?;
         let known = self.former.iter_mut().find(|former| Some(former.revision) == has);
         let change = known.and_then(|former| {
             let Former { document, difference, .. } = former;
             difference.get_or_insert_with(|| Difference::between(document, newest)).clone()
         });
-        Some(change.map_or_else(|| News::Configuration(Document::clone(newest)), News::Change))
+        Some(change.map_or_else(|| Update::Configuration(Document::clone(newest)), Update::ConfigurationDifference))
     }
 }
--- a/crates/marker/src/registry.rs
+++ b/crates/marker/src/registry.rs
@@ -3,9 +3,9 @@
 //! Of two words about one life of a server the one with the higher `call-sequence` holds; at the same sequence the
 //! later state does. A life that has deregistered never comes back; one that only fell silent does with its next beat.
 
-use granitelead_common::kinds::Kind;
-use granitelead_common::paths::At;
-use granitelead_control_protocol::words::{Instance, State};
+use granitelead_common::error_kinds::ErrorKind;
+use granitelead_common::validation::Cursor;
+use granitelead_control_protocol::messages::{Instance, InstanceState};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -51,41 +51,41 @@
 /// # Errors
 ///
 /// The kind and every fault, by its path.
-pub fn read_beat(id: &str, body: &[u8]) -> Result<Instance, (Kind, String)> {
-    let value: Value = serde_json::from_slice(body).map_err(|e| (Kind::Malformed, e.to_string()))?;
-    let at = At::whole(&value);
-    let text = |at: At| {
+pub fn read_beat(id: &str, body: &[u8]) -> Result<Instance, (ErrorKind, String)> {
+    let value: Value = serde_json::from_slice(body).map_err(|e| (ErrorKind::Malformed, e.to_string()))?;
+    let at = Cursor::root(&value);
+    let text = |at: Cursor| {
         let text = at.name();
         if text.len() > TEXT_MAX {
-            at.wrong("too long");
+            at.add_error("too long");
         }
         text.to_owned()
     };
     let (information, status) = (at.field("information"), at.field("status"));
     let state = match status.field("state").text() {
-        "ready" => State::Ready,
-        "draining" => State::Draining,
+        "ready" => InstanceState::Ready,
+        "draining" => InstanceState::Draining,
         _ => {
-            status.field("state").wrong("ready or draining is expected");
-            State::Draining
+            status.field("state").add_error("ready or draining is expected");
+            InstanceState::Draining
         }
     };
     let address = text(at.field("address"));
     if address.parse::<std::net::SocketAddrV4>().is_err() {
-        at.field("address").wrong("an address such as 10.128.0.9:8080 is expected");
+        at.field("address").add_error("an address such as 10.128.0.9:8080 is expected");
     }
     let instance = Instance {
         id: id.to_owned(),
         service: text(information.field("service-name")),
         address,
         zone: text(information.field("zone")),
-        version: information.field("version").or("", At::text).chars().take(TEXT_MAX).collect(),
-        slots: information.field("capacity-slots").or(1, At::whole_number).clamp(1, 1 << 20) as u32,
+        version: information.field("version").optional("", Cursor::text).chars().take(TEXT_MAX).collect(),
+        slots: information.field("capacity-slots").optional(1, Cursor::integer).clamp(1, 1 << 20) as u32,
         state,
-        sequence: status.field("call-sequence").or(0, At::whole_number),
-        cold_ms: status.field("cold-remaining-ms").or(0, At::whole_number),
+        sequence: status.field("call-sequence").optional(0, Cursor::integer),
+        cold_ms: status.field("cold-remaining-ms").optional(0, Cursor::integer),
     };
-    at.judge(instance).map_err(|faults| (Kind::Malformed, faults.to_string()))
+    at.finish(instance).map_err(|faults| (ErrorKind::Malformed, faults.to_string()))
 }
 
 /// Whether a word about a life of a server is newer than what is known.
@@ -133,11 +133,11 @@
         }
         let mut changed = Vec::new();
         // Whoever had the address has ended.
-        if instance.state != State::Gone {
+        if instance.state != InstanceState::Gone {
             let same =
-                |e: &&mut Entry| e.instance.address == instance.address && e.instance.state != State::Gone;
+                |e: &&mut Entry| e.instance.address == instance.address && e.instance.state != InstanceState::Gone;
             for entry in self.entries.values_mut().filter(same) {
-                (entry.instance.state, entry.at) = (State::Gone, now);
+                (entry.instance.state, entry.at) = (InstanceState::Gone, now);
                 changed.push(entry.instance.clone());
             }
         }
@@ -158,8 +158,8 @@
             return self.take(now, Instance::ended(id));
         };
         let before = (entry.instance.state, entry.instance.sequence);
-        (entry.instance.state, entry.instance.sequence, entry.at) = (State::Gone, u64::MAX, now);
-        let changes = before != (State::Gone, u64::MAX);
+        (entry.instance.state, entry.instance.sequence, entry.at) = (InstanceState::Gone, u64::MAX, now);
+        let changes = before != (InstanceState::Gone, u64::MAX);
         changes.then(|| entry.instance.clone()).into_iter().collect()
     }
 
@@ -168,13 +168,13 @@
         let mut changed = Vec::new();
         for (id, sequence) in lives {
             let Some(entry) = self.entries.get_mut(id) else { continue };
-            if entry.instance.sequence < *sequence && entry.instance.state != State::Draining {
+            if entry.instance.sequence < *sequence && entry.instance.state != InstanceState::Draining {
                 (entry.instance.sequence, entry.at, entry.here) = (*sequence, now, false);
-                if entry.instance.state == State::Gone {
-                    entry.instance.state = State::Ready;
+                if entry.instance.state == InstanceState::Gone {
+                    entry.instance.state = InstanceState::Ready;
                     changed.push(entry.instance.clone());
                 }
-            } else if entry.instance.state == State::Draining {
+            } else if entry.instance.state == InstanceState::Draining {
                 entry.at = now;
             }
         }
@@ -190,22 +190,22 @@
 
     /// All that are not gone, as others are to know them.
     pub fn all(&self) -> Vec<Instance> {
-        self.entries.values().map(|e| &e.instance).filter(|i| i.state != State::Gone).cloned().collect()
+        self.entries.values().map(|e| &e.instance).filter(|i| i.state != InstanceState::Gone).cloned().collect()
     }
 
     /// Takes in a word that is told on by somebody who may have been away for long.
     pub fn learn(&mut self, now: Millis, word: Instance) -> Learnt {
         let known = self.entries.get(&word.id).map(|e| &e.instance);
-        let ended = known.is_some_and(|k| k.state == State::Gone && !is_newer(&word, k));
+        let ended = known.is_some_and(|k| k.state == InstanceState::Gone && !is_newer(&word, k));
         // What is only remembered from before this start was not heard.
         let fresh = self.beat + FRESH;
         let taken = |e: &Entry| {
-            let other = e.instance.id != word.id && e.instance.state != State::Gone;
+            let other = e.instance.id != word.id && e.instance.state != InstanceState::Gone;
             other && e.instance.address == word.address && e.at > 0 && now < e.at + fresh
         };
-        if word.state != State::Gone && (ended || known.is_none() && self.entries.values().any(taken)) {
+        if word.state != InstanceState::Gone && (ended || known.is_none() && self.entries.values().any(taken)) {
             let end = known.filter(|_| ended).cloned();
-            return Learnt::Ended(end.unwrap_or(Instance { state: State::Gone, ..word }));
+            return Learnt::Ended(end.unwrap_or(Instance { state: InstanceState::Gone, ..word }));
         }
         Learnt::News(self.take(now, word))
     }
@@ -213,10 +213,10 @@
     /// Time passes; `deaf` says that beats may come elsewhere and not be told of here.
     pub fn on_tick(&mut self, now: Millis, deaf: bool) {
         let half = self.silence() / 2;
-        for entry in self.entries.values_mut().filter(|e| deaf && e.instance.state != State::Gone) {
+        for entry in self.entries.values_mut().filter(|e| deaf && e.instance.state != InstanceState::Gone) {
             entry.at = entry.at.max(now.saturating_sub(half));
         }
-        self.entries.retain(|_, e| e.instance.state != State::Gone || now < e.at + REMEMBER);
+        self.entries.retain(|_, e| e.instance.state != InstanceState::Gone || now < e.at + REMEMBER);
     }
 
     fn silence(&self) -> Millis {
@@ -226,15 +226,15 @@
     /// The servers whose beats have stopped, as they are to be known once they are ended.
     pub fn silent(&self, now: Millis) -> Vec<Instance> {
         let silence = self.silence();
-        let silent = |e: &&Entry| e.instance.state != State::Gone && now > e.at + silence;
+        let silent = |e: &&Entry| e.instance.state != InstanceState::Gone && now > e.at + silence;
         let ends = self.entries.values().filter(silent);
-        ends.map(|e| Instance { state: State::Gone, ..e.instance.clone() }).collect()
+        ends.map(|e| Instance { state: InstanceState::Gone, ..e.instance.clone() }).collect()
     }
 
     /// Of servers that are silent elsewhere those that are not silent here, with the newest sequence.
     pub fn heard_of(&self, now: Millis, servers: &[Instance]) -> Vec<(String, u64)> {
         let silence = self.silence();
-        let heard = |e: &&Entry| e.instance.state != State::Gone && now <= e.at + silence;
+        let heard = |e: &&Entry| e.instance.state != InstanceState::Gone && now <= e.at + silence;
         let here = servers.iter().filter_map(|s| self.entries.get(&s.id)).filter(heard);
         here.map(|e| (e.instance.id.clone(), e.instance.sequence)).collect()
     }
@@ -255,7 +255,7 @@
     use super::*;
     use googletest::prelude::*;
 
-    fn server(id: &str, sequence: u64, state: State) -> Instance {
+    fn server(id: &str, sequence: u64, state: InstanceState) -> Instance {
         Instance {
             id: id.into(),
             service: "s".into(),
@@ -272,22 +272,22 @@
     #[gtest]
     fn a_server_starts_drains_and_goes_and_late_words_change_nothing() {
         let mut registry = Registry::new(1_500);
-        expect_that!(registry.on_beat(0, server("x", 1, State::Ready)).len(), eq(1));
-        expect_that!(registry.on_beat(1_500, server("x", 2, State::Ready)).len(), eq(0));
-        expect_that!(registry.on_beat(2_000, server("x", 4, State::Draining)).len(), eq(1));
-        expect_that!(registry.on_beat(2_100, server("x", 3, State::Ready)).len(), eq(0));
-        expect_that!(registry.all()[0].state, eq(State::Draining));
+        expect_that!(registry.on_beat(0, server("x", 1, InstanceState::Ready)).len(), eq(1));
+        expect_that!(registry.on_beat(1_500, server("x", 2, InstanceState::Ready)).len(), eq(0));
+        expect_that!(registry.on_beat(2_000, server("x", 4, InstanceState::Draining)).len(), eq(1));
+        expect_that!(registry.on_beat(2_100, server("x", 3, InstanceState::Ready)).len(), eq(0));
+        expect_that!(registry.all()[0].state, eq(InstanceState::Draining));
         expect_that!(registry.on_leave(3_000, "x").len(), eq(1));
         expect_that!(registry.on_leave(3_000, "x").len(), eq(0));
-        expect_that!(registry.on_beat(3_100, server("x", 5, State::Ready)).len(), eq(0));
+        expect_that!(registry.on_beat(3_100, server("x", 5, InstanceState::Ready)).len(), eq(0));
         expect_true!(registry.all().is_empty());
     }
 
     #[gtest]
     fn silence_ends_a_server_unless_the_marker_may_be_deaf_and_a_beat_brings_it_back() {
         let mut registry = Registry::new(1_500);
-        registry.on_beat(0, server("x", 1, State::Ready));
-        registry.on_beat(0, server("xx", 1, State::Ready));
+        registry.on_beat(0, server("x", 1, InstanceState::Ready));
+        registry.on_beat(0, server("xx", 1, InstanceState::Ready));
         expect_that!(registry.on_alive(7_000, &[("xx".into(), 5)]).len(), eq(0));
         registry.on_tick(8_001, true);
         expect_that!(registry.silent(8_001).len(), eq(0));
@@ -299,17 +299,17 @@
         expect_that!(registry.all().len(), eq(2));
         expect_that!(registry.end(12_002, silent)[0].id, eq("x"));
         expect_that!(registry.all().len(), eq(1));
-        expect_that!(registry.on_alive(13_000, &[("x".into(), 9)])[0].state, eq(State::Ready));
+        expect_that!(registry.on_alive(13_000, &[("x".into(), 9)])[0].state, eq(InstanceState::Ready));
         expect_that!(registry.all().len(), eq(2));
     }
 
     #[gtest]
     fn an_address_belongs_to_the_newest_life() {
         let mut registry = Registry::new(1_500);
-        registry.on_beat(0, server("x", 7, State::Ready));
-        let changed = registry.on_beat(10, server("y", 1, State::Ready));
-        let told: Vec<(&str, State)> = changed.iter().map(|i| (i.id.as_str(), i.state)).collect();
-        expect_that!(told, eq(&vec![("x", State::Gone), ("y", State::Ready)]));
+        registry.on_beat(0, server("x", 7, InstanceState::Ready));
+        let changed = registry.on_beat(10, server("y", 1, InstanceState::Ready));
+        let told: Vec<(&str, InstanceState)> = changed.iter().map(|i| (i.id.as_str(), i.state)).collect();
+        expect_that!(told, eq(&vec![("x", InstanceState::Gone), ("y", InstanceState::Ready)]));
     }
 
     #[gtest]
@@ -317,10 +317,10 @@
         let good = r#"{"address":"10.128.0.9:8080","information":{"service-name":"h","version":"v1","zone":"z",
             "capacity-slots":2},"status":{"state":"ready","call-sequence":4,"cold-remaining-ms":0}}"#;
         let read = read_beat("i", good.as_bytes()).unwrap();
-        expect_that!((read.slots, read.sequence, read.state), eq((2, 4, State::Ready)));
+        expect_that!((read.slots, read.sequence, read.state), eq((2, 4, InstanceState::Ready)));
         let bad = good.replace("10.128.0.9:8080", "nowhere").replace("\"ready\"", "\"fine\"");
         let (kind, text) = read_beat("i", bad.as_bytes()).unwrap_err();
-        expect_that!(kind, eq(Kind::Malformed));
+        expect_that!(kind, eq(ErrorKind::Malformed));
         expect_that!(text, all!(contains_substring("address:"), contains_substring("status.state:")));
         expect_true!(read_beat("i", b"{").is_err());
     }
--- a/crates/marker/src/repair.rs
+++ b/crates/marker/src/repair.rs
@@ -6,7 +6,7 @@
 //! kept: they would count at the time of their handing over, long after what they were for.
 
 use crate::parts::Millis;
-use granitelead_control_protocol::words::Instance;
+use granitelead_control_protocol::messages::Instance;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -104,7 +104,7 @@
 mod tests {
     use super::*;
     use googletest::prelude::*;
-    use granitelead_control_protocol::words::State;
+    use granitelead_control_protocol::messages::InstanceState;
 
     fn ended(n: usize) -> Instance {
         Instance {
@@ -114,7 +114,7 @@
             zone: "a".into(),
             version: String::new(),
             slots: 1,
-            state: State::Gone,
+            state: InstanceState::Gone,
             sequence: u64::MAX,
             cold_ms: 0,
         }
--- a/crates/marker/src/run.rs
+++ b/crates/marker/src/run.rs
@@ -7,8 +7,8 @@
 use crate::store::{self, Found, Job, Store};
 use granitelead_base::Backoff;
 use granitelead_common::settings::{self, Settings};
-use granitelead_control_protocol::line::{self, Sender};
-use granitelead_control_protocol::words::Word;
+use granitelead_control_protocol::connection::{self, Sender};
+use granitelead_control_protocol::messages::Message;
 use hyper::body::Incoming;
 use hyper::service::service_fn;
 use hyper::Request;
@@ -94,7 +94,7 @@
 }
 
 /// Says a word and counts it.
-fn say(line: &Sender, word: &Word, counts: &RefCell<BTreeMap<&'static str, (u64, u64)>>) {
+fn say(line: &Sender, word: &Message, counts: &RefCell<BTreeMap<&'static str, (u64, u64)>>) {
     let size = line.send(word);
     if size > 0 {
         let mut counts = counts.borrow_mut();
@@ -129,7 +129,7 @@
         if all().map(Sender::unsent).sum::<usize>() > self.unsent_max {
             if let Some(most) = all().max_by_key(|line| line.unsent()) {
                 log::warn!("{} bytes wait for a peer that does not read: its line is ended", most.unsent());
-                most.give_up();
+                most.abort();
             }
         }
     }
@@ -143,12 +143,12 @@
                 Output::Send(ip, word) => {
                     let me = self.marker.borrow().me();
                     if let Some(line) = self.lines.borrow().get(&ip) {
-                        say(line, &Word::Between(me, word), &self.said.markers);
+                        say(line, &Message::Peer(me, word), &self.said.markers);
                     }
                 }
                 Output::Tell(id, word) => {
                     if let Some(session) = self.sessions.borrow().get(&id) {
-                        say(session, &Word::Down(word), &self.said.gatekeepers);
+                        say(session, &Message::ToGatekeeper(word), &self.said.gatekeepers);
                     }
                 }
                 Output::Write(ticket, keeping) => {
@@ -192,7 +192,7 @@
     let mut backoff = Backoff::new(fastrand::u64(..));
     let to = SocketAddr::from((ip, exchange.internal_port));
     while exchange.marker.borrow().known().contains(&ip) {
-        let stream = match line::dial(to).await {
+        let stream = match connection::connect(to).await {
             Ok(stream) => stream,
             Err(ended) => {
                 log::info!("{ip}: {ended}");
@@ -204,7 +204,7 @@
         let sender = Sender::default();
         exchange.lines.borrow_mut().insert(ip, sender.clone());
         exchange.step(|marker, now, out| marker.on_line(now, ip, true, out));
-        let ended = line::carry(stream, sender, NEVER, |_| {}).await;
+        let ended = connection::run(stream, sender, NEVER, |_| {}).await;
         log::info!("{ip}: {ended}");
         exchange.step(|marker, now, out| marker.on_line(now, ip, false, out));
         tokio::time::sleep(backoff.draw().min(REDIAL)).await;
@@ -218,19 +218,19 @@
     let sender = Sender::default();
     let taken = exchange.clone();
     let back = sender.clone();
-    let ended = line::carry(stream, sender.clone(), SILENCE, move |word| match word {
-        Word::Between(from, word) => taken.step(|marker, now, out| marker.on_word(now, from, word, out)),
-        Word::Up(word) => {
+    let ended = connection::run(stream, sender.clone(), SILENCE, move |word| match word {
+        Message::Peer(from, word) => taken.step(|marker, now, out| marker.on_word(now, from, word, out)),
+        Message::ToMarker(word) => {
             taken.sessions.borrow_mut().entry(id).or_insert_with(|| back.clone());
             taken.step(|marker, now, out| marker.on_up(now, id, word, out));
         }
-        Word::Down(_) => back.close(),
+        Message::ToGatekeeper(_) => back.close(),
     })
     .await;
     if exchange.sessions.borrow_mut().remove(&id).is_some() {
         log::info!("session {id}: {ended}");
         // Its kernel closes the connections of a process that is killed; a reset may come from the network.
-        let ended = matches!(ended, line::Ended::Closed);
+        let ended = matches!(ended, connection::Disconnect::Closed);
         exchange.step(|marker, now, out| marker.on_closed(now, id, ended, out));
     }
 }
@@ -250,7 +250,7 @@
             exchange.step(|marker, now, out| marker.on_call(now, id, call, out));
             let reply = answer.await;
             let reply = reply
-                .unwrap_or_else(|_| Reply::fault(granitelead_common::kinds::Kind::Internal, "no answer"));
+                .unwrap_or_else(|_| Reply::fault(granitelead_common::error_kinds::ErrorKind::Internal, "no answer"));
             if asks {
                 with_counts(reply, &exchange.said)
             } else {
@@ -304,7 +304,7 @@
 
 /// Opens the folder; while the disk refuses it is tried again.
 async fn open(settings: &Settings) -> Result<Found, Failure> {
-    let Some(folder) = &settings.folder else {
+    let Some(folder) = &settings.data_directory else {
         let store = Store::in_memory().context(FolderSnafu)?;
         return Ok(Found { store, kept: None, servers: Vec::new(), gatekeepers: Vec::new(), forgot: false });
     };
@@ -348,9 +348,9 @@
 
     let inner = listen(SocketAddr::from((settings.ip, settings.internal_port))).await?;
     let outer = listen(control.into()).await?;
-    let core = Core::new(keeping, &seeds, settings.losses, fastrand::u64(..), 0)
-        .placed(&settings.zone, settings.folder.is_some());
-    let beat = settings.beat.as_millis() as Millis;
+    let core = Core::new(keeping, &seeds, settings.machine_losses, fastrand::u64(..), 0)
+        .placed(&settings.zone, settings.data_directory.is_some());
+    let beat = settings.heartbeat_interval.as_millis() as Millis;
     let window = settings.bounds.quota_window.as_millis() as Millis;
     let marker = Marker::new(core, settings.zone.clone(), beat, servers).remembering(gatekeepers, window);
     let exchange = Rc::new(Exchange {
--- a/crates/marker/src/sessions.rs
+++ b/crates/marker/src/sessions.rs
@@ -2,7 +2,7 @@
 
 use crate::parts::{Millis, Output, SessionId};
 use crate::pushes::Pushes;
-use granitelead_control_protocol::words::{Document, Down, Instance, News, Revision};
+use granitelead_control_protocol::messages::{Document, ToGatekeeper, Instance, Update, Revision};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -118,9 +118,9 @@
             self.pushes.newest(document);
             self.push(id, out);
         }
-        self.tell(id, News::Servers(servers), out);
-        self.tell(id, News::Markers(markers), out);
-        self.tell(id, News::Whole(zone.to_owned()), out);
+        self.tell(id, Update::Servers(servers), out);
+        self.tell(id, Update::Markers(markers), out);
+        self.tell(id, Update::Synchronized(zone.to_owned()), out);
     }
 
     /// A session ends.
@@ -204,7 +204,7 @@
     }
 
     /// Tells one a configuration.
-    fn carry(&mut self, id: SessionId, newest: Revision, news: News, out: &mut Vec<Output>) {
+    fn carry(&mut self, id: SessionId, newest: Revision, news: Update, out: &mut Vec<Output>) {
         self.tell(id, news, out);
         if let Some(session) = self.sessions.get_mut(&id) {
             (session.told, session.carrier) = (Some(newest), session.sent);
@@ -212,15 +212,15 @@
     }
 
     /// Tells one.
-    pub fn tell(&mut self, id: SessionId, news: News, out: &mut Vec<Output>) {
+    pub fn tell(&mut self, id: SessionId, news: Update, out: &mut Vec<Output>) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.sent += 1;
-            out.push(Output::Tell(id, Down::News(session.sent, news)));
+            out.push(Output::Tell(id, ToGatekeeper::Update(session.sent, news)));
         }
     }
 
     /// Tells all.
-    pub fn tell_all(&mut self, news: &News, out: &mut Vec<Output>) {
+    pub fn tell_all(&mut self, news: &Update, out: &mut Vec<Output>) {
         let ids: Vec<SessionId> = self.sessions.keys().copied().collect();
         for id in ids {
             self.tell(id, news.clone(), out);
--- a/crates/marker/src/state.rs
+++ b/crates/marker/src/state.rs
@@ -8,8 +8,8 @@
 use crate::sessions::{Sessions, Waiter};
 use crate::tally::Tally;
 use granitelead_common::configuration;
-use granitelead_common::kinds::Kind;
-use granitelead_control_protocol::words::{Between, Document, Down, Duty, Instance, News, Node, State, Up};
+use granitelead_common::error_kinds::ErrorKind;
+use granitelead_control_protocol::messages::{PeerMessage, Document, ToGatekeeper, Duty, Instance, Update, Node, InstanceState, ToMarker};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
@@ -193,7 +193,7 @@
             Call::Beat { id: life, body } => match registry::read_beat(&life, &body) {
                 Err((kind, text)) => out.push(Output::Answer(id, Reply::Fault(kind, text))),
                 Ok(instance) => {
-                    let leaves = instance.state != State::Ready;
+                    let leaves = instance.state != InstanceState::Ready;
                     // Beats stay in the server's zone where a marker is there.
                     let reply = self.marker_of(&instance.zone).map_or(Reply::done(), Reply::Beats);
                     let changed = self.registry.on_beat(now, instance);
@@ -208,7 +208,7 @@
             }
             Call::Replace { body } => match configuration::parse(&body) {
                 Err(faults) => {
-                    out.push(Output::Answer(id, Reply::Fault(Kind::Configuration, faults.to_string())));
+                    out.push(Output::Answer(id, Reply::Fault(ErrorKind::Configuration, faults.to_string())));
                 }
                 Ok(read) => {
                     let document = Document { version: read.version, bytes: body };
@@ -237,7 +237,7 @@
             self.tell_servers(changed.clone(), out);
         }
         let ticket = if !self.contact {
-            out.push(Output::Answer(id, Reply::fault(Kind::Uncertain, "this marker is out of contact")));
+            out.push(Output::Answer(id, Reply::fault(ErrorKind::Uncertain, "this marker is out of contact")));
             0
         } else if leaves.is_some() {
             let live = self.core.live();
@@ -265,11 +265,11 @@
         if changed.is_empty() {
             return;
         }
-        let ended: Vec<Instance> = changed.iter().filter(|i| i.state == State::Gone).cloned().collect();
+        let ended: Vec<Instance> = changed.iter().filter(|i| i.state == InstanceState::Gone).cloned().collect();
         let ticket = if ticket == 0 && !ended.is_empty() { self.sessions.ticket() } else { ticket };
         for ip in self.core.known().into_iter().filter(|ip| Some(*ip) != except) {
             self.repair.owe(now, ip, &ended, ticket);
-            out.push(Output::Send(ip, Between::Servers(ticket, changed.clone())));
+            out.push(Output::Send(ip, PeerMessage::Servers(ticket, changed.clone())));
         }
     }
 
@@ -278,7 +278,7 @@
         let ticket = self.sessions.ticket();
         let part = self.repair.part(ip, ticket);
         if !part.is_empty() {
-            out.push(Output::Send(ip, Between::Servers(ticket, part)));
+            out.push(Output::Send(ip, PeerMessage::Servers(ticket, part)));
         }
     }
 
@@ -313,12 +313,12 @@
     ) {
         let (mut changed, ended) = self.learn(now, servers, out);
         // Who leaves is told on once more: whoever told may not reach all that are reached from here.
-        changed.retain(|server| server.state != State::Ready);
+        changed.retain(|server| server.state != InstanceState::Ready);
         self.pass_on(now, changed, 0, Some(from), out);
         if !ended.is_empty() {
             let ticket = self.sessions.ticket();
             self.repair.owe(now, from, &ended, ticket);
-            out.push(Output::Send(from, Between::Servers(ticket, ended)));
+            out.push(Output::Send(from, PeerMessage::Servers(ticket, ended)));
         }
         if ticket > 0 {
             self.sessions.wait(now, Waiter::Marker(from, ticket), &[]);
@@ -327,53 +327,53 @@
 
     fn tell_servers(&mut self, changed: Vec<Instance>, out: &mut Vec<Output>) {
         self.servers_changed = true;
-        self.sessions.tell_all(&News::Servers(changed), out);
+        self.sessions.tell_all(&Update::Servers(changed), out);
     }
 
     /// Another marker says something.
-    pub fn on_word(&mut self, now: Millis, from: Node, word: Between, out: &mut Vec<Output>) {
+    pub fn on_word(&mut self, now: Millis, from: Node, word: PeerMessage, out: &mut Vec<Output>) {
         self.peers.entry(from.ip).or_default().heard = now;
         match word {
-            Between::Servers(ticket, servers) => self.take_servers(now, from.ip, ticket, servers, out),
-            Between::Reaped(number, ticket, servers) => {
+            PeerMessage::Servers(ticket, servers) => self.take_servers(now, from.ip, ticket, servers, out),
+            PeerMessage::ConfirmExpired(number, ticket, servers) => {
                 if self.core.allows(Duty::Reaper, number) {
                     let heard = self.registry.heard_of(now, &servers);
-                    let word = if heard.is_empty() { Between::Told(ticket) } else { Between::Alive(heard) };
+                    let word = if heard.is_empty() { PeerMessage::Delivered(ticket) } else { PeerMessage::Alive(heard) };
                     out.push(Output::Send(from.ip, word));
                 } else {
                     log::info!("{} reaps under number {}, which is over", from.ip, number.round);
                 }
             }
-            Between::Told(ticket) => {
+            PeerMessage::Delivered(ticket) => {
                 self.sessions.on_told(from.ip, ticket);
                 self.on_reaped(now, from.ip, ticket, out);
                 if self.repair.told(from.ip, ticket) {
                     self.hand_over(from.ip, out);
                 }
             }
-            Between::Alive(lives) => {
+            PeerMessage::Alive(lives) => {
                 let changed = self.registry.on_alive(now, &lives);
                 if !changed.is_empty() {
                     self.tell_servers(changed, out);
                 }
             }
-            Between::Sessions { zone, names, missed, ended } => {
+            PeerMessage::Sessions { zone, names, missed, ended } => {
                 self.peers.entry(from.ip).or_default().zone = zone;
                 let is_counted = self.counts_with.contains(&from.ip);
                 self.members.take(now, from.ip, names, is_counted);
                 self.members.learn_missed(now, missed);
                 ended.into_iter().for_each(|(name, age)| self.members.end(now, &name, age));
             }
-            Between::Left(name) => self.members.end(now, &name, 0),
+            PeerMessage::GatekeeperLeft(name) => self.members.end(now, &name, 0),
             // Others count without what is let in here: each leaves the other its part.
-            Between::Adds(adds) if self.counts_with.contains(&from.ip) => self.tally.count(now, &adds),
-            Between::Adds(_) => {}
-            Between::CatchUp(number) => {
-                out.push(Output::Send(from.ip, Between::Servers(0, self.registry.whole())));
+            PeerMessage::Usage(adds) if self.counts_with.contains(&from.ip) => self.tally.count(now, &adds),
+            PeerMessage::Usage(_) => {}
+            PeerMessage::CatchUp(number) => {
+                out.push(Output::Send(from.ip, PeerMessage::Servers(0, self.registry.whole())));
                 let sure = self.core.sure().map(|d| d.version);
-                out.push(Output::Send(from.ip, Between::CaughtUp(number, sure)));
+                out.push(Output::Send(from.ip, PeerMessage::CaughtUp(number, sure)));
             }
-            Between::CaughtUp(number, sure) => {
+            PeerMessage::CaughtUp(number, sure) => {
                 if let Some(asking) = self.asking.as_mut().filter(|asking| asking.number == number) {
                     asking.answers.insert(from.ip, sure);
                 }
@@ -403,15 +403,15 @@
             self.hand_over(ip, out);
             let all = self.registry.all();
             if !all.is_empty() {
-                out.push(Output::Send(ip, Between::Servers(0, all)));
+                out.push(Output::Send(ip, PeerMessage::Servers(0, all)));
             }
         }
     }
 
     /// A gatekeeper says something.
-    pub fn on_up(&mut self, now: Millis, session: SessionId, word: Up, out: &mut Vec<Output>) {
+    pub fn on_up(&mut self, now: Millis, session: SessionId, word: ToMarker, out: &mut Vec<Output>) {
         match word {
-            Up::Hello { life, name, has, servers } => {
+            ToMarker::Hello { incarnation: life, name, in_force: has, servers } => {
                 // What it knows may be more than is known here, after a start of all.
                 let (_, ended) = self.learn(now, servers, out);
                 let (all, markers) = (self.registry.all(), self.markers());
@@ -427,20 +427,20 @@
                     &self.zone,
                     out,
                 );
-                self.sessions.tell(session, News::Contact(self.contact), out);
+                self.sessions.tell(session, Update::Contact(self.contact), out);
                 if !ended.is_empty() {
-                    self.sessions.tell(session, News::Servers(ended), out);
+                    self.sessions.tell(session, Update::Servers(ended), out);
                 }
                 if self.knows_members {
                     let (all, missed) = self.told_members;
-                    self.sessions.tell(session, News::Gatekeepers(all, missed), out);
+                    self.sessions.tell(session, Update::Gatekeepers(all, missed), out);
                 }
             }
-            Up::Ping => {
+            ToMarker::Ping => {
                 self.sessions.on_ping(now, session);
-                out.push(Output::Tell(session, Down::Pong));
+                out.push(Output::Tell(session, ToGatekeeper::Pong));
             }
-            Up::Home(home) => {
+            ToMarker::Attach(home) => {
                 self.tally.close(session);
                 if let (true, Some(life)) = (home, self.sessions.life(session)) {
                     self.tally.open(session, life);
@@ -448,11 +448,11 @@
                 self.sessions.on_home(session, home);
                 self.sessions_at = 0;
             }
-            Up::Got(number) => self.sessions.on_got(session, number, out),
-            Up::Has(revision) => self.sessions.on_has(session, revision),
-            Up::Lacks(revision) => self.sessions.on_lacks(session, revision, out),
-            Up::Adds(number, adds) => self.tally.on_adds(now, session, number, &adds),
-            Up::Leave => self.on_leaving(now, session, out),
+            ToMarker::Acknowledge(number) => self.sessions.on_got(session, number, out),
+            ToMarker::InForce(revision) => self.sessions.on_has(session, revision),
+            ToMarker::RequestFull(revision) => self.sessions.on_lacks(session, revision, out),
+            ToMarker::Usage(number, adds) => self.tally.on_adds(now, session, number, &adds),
+            ToMarker::Leave => self.on_leaving(now, session, out),
         }
         self.after(now, out);
     }
@@ -463,7 +463,7 @@
         self.tally.close(session);
         self.members.end(now, &name, 0);
         for ip in self.core.known() {
-            out.push(Output::Send(ip, Between::Left(name.clone())));
+            out.push(Output::Send(ip, PeerMessage::GatekeeperLeft(name.clone())));
         }
     }
 
@@ -512,19 +512,19 @@
             let batch = if due { self.tally.batch() } else { Vec::new() };
             if !batch.is_empty() {
                 self.adds_at = now;
-                out.extend(peers.iter().map(|ip| Output::Send(*ip, Between::Adds(batch.clone()))));
+                out.extend(peers.iter().map(|ip| Output::Send(*ip, PeerMessage::Usage(batch.clone()))));
             }
             for (id, recent) in self.tally.beginnings(now) {
-                out.push(Output::Tell(id, Down::Recent(recent)));
+                out.push(Output::Tell(id, ToGatekeeper::Recent(recent)));
             }
             let news = self.tally.news(now).into_iter();
-            out.extend(news.map(|(id, number, totals)| Output::Tell(id, Down::Totals(number, totals))));
+            out.extend(news.map(|(id, number, totals)| Output::Tell(id, ToGatekeeper::Totals(number, totals))));
         }
         if now >= self.alive_at + ALIVE {
             self.alive_at = now;
             let beaten = self.registry.beaten();
             if !beaten.is_empty() {
-                out.extend(peers.iter().map(|ip| Output::Send(*ip, Between::Alive(beaten.clone()))));
+                out.extend(peers.iter().map(|ip| Output::Send(*ip, PeerMessage::Alive(beaten.clone()))));
             }
         }
         if self.servers_changed && now >= self.servers_at + SERVERS {
@@ -539,7 +539,7 @@
             let markers = self.markers();
             if markers != self.told_markers {
                 self.told_markers.clone_from(&markers);
-                self.sessions.tell_all(&News::Markers(markers), out);
+                self.sessions.tell_all(&Update::Markers(markers), out);
             }
         }
         self.after(now, out);
@@ -552,7 +552,7 @@
         if here != self.told_here || now >= self.here_at + HERE {
             (self.told_here, self.here_at) = (here.clone(), now);
             let (missed, ended) = (self.members.missed(now), self.members.ended(now));
-            let word = Between::Sessions { zone: self.zone.clone(), names: here, missed, ended };
+            let word = PeerMessage::Sessions { zone: self.zone.clone(), names: here, missed, ended };
             out.extend(peers.iter().map(|ip| Output::Send(*ip, word.clone())));
         }
         self.counts_with = self.core.counts_with();
@@ -568,7 +568,7 @@
         }
         if counts != self.told_members && self.knows_members {
             self.told_members = counts;
-            self.sessions.tell_all(&News::Gatekeepers(counts.0, counts.1), out);
+            self.sessions.tell_all(&Update::Gatekeepers(counts.0, counts.1), out);
         }
         let names = self.members.names();
         if names != self.stored_members && now >= self.begun + KNOWS {
@@ -590,7 +590,7 @@
         }
         let ticket = self.sessions.ticket();
         for ip in self.core.known() {
-            out.push(Output::Send(ip, Between::Reaped(number, ticket, silent.clone())));
+            out.push(Output::Send(ip, PeerMessage::ConfirmExpired(number, ticket, silent.clone())));
         }
         self.reaping = Some(Reaping { ticket, at: now, silent, told: BTreeSet::new() });
         self.on_reaped(now, self.core.me().ip, ticket, out);
@@ -634,7 +634,7 @@
         if now >= asking.at + AGAIN || asking.at == 0 {
             asking.at = now;
             for ip in live.into_iter().filter(|ip| !asking.answers.contains_key(ip)) {
-                out.push(Output::Send(ip, Between::CatchUp(asking.number)));
+                out.push(Output::Send(ip, PeerMessage::CatchUp(asking.number)));
             }
         }
         let answered = self.core.most_of_core(|ip| asking.answers.contains_key(&ip));
@@ -648,7 +648,7 @@
         let since = now - self.contact_at;
         log::info!("{} contact, after {since} ms", if self.contact { "in" } else { "out of" });
         self.contact_at = now;
-        self.sessions.tell_all(&News::Contact(self.contact), out);
+        self.sessions.tell_all(&Update::Contact(self.contact), out);
     }
 
     /// A marker of a zone that is heard, where it is another than this one's.
@@ -688,9 +688,9 @@
                 Waiter::Call(id) if most() => Output::Answer(id, Reply::done()),
                 Waiter::Call(id) => Output::Answer(
                     id,
-                    Reply::fault(Kind::Uncertain, "most markers have not said that all know"),
+                    Reply::fault(ErrorKind::Uncertain, "most markers have not said that all know"),
                 ),
-                Waiter::Marker(ip, ticket) => Output::Send(ip, Between::Told(ticket)),
+                Waiter::Marker(ip, ticket) => Output::Send(ip, PeerMessage::Delivered(ticket)),
             });
         }
     }
--- a/crates/marker/src/store.rs
+++ b/crates/marker/src/store.rs
@@ -8,7 +8,7 @@
 //! is the one content known, and of the numbers below that nothing is.
 
 use crate::parts::Keeping;
-use granitelead_control_protocol::words::{Digest, Document, Epoch, Instance, Ledger};
+use granitelead_control_protocol::messages::{Digest, Document, Epoch, Instance, Ledger};
 use rusqlite::{params, Connection, ErrorCode, OptionalExtension};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
--- a/crates/marker/src/tally.rs
+++ b/crates/marker/src/tally.rs
@@ -6,7 +6,7 @@
 //! not from a full store.
 
 use crate::parts::{Millis, SessionId};
-use granitelead_common::recent_use::{Known, RecentUse};
+use granitelead_common::recent_use::{WindowUsage, RecentUse};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Tenants that are counted at once.
@@ -131,7 +131,7 @@
     }
 
     /// What those that have made this marker their home since the last time are told first: what was let in of late.
-    pub fn beginnings(&mut self, now: Millis) -> Vec<(SessionId, Known)> {
+    pub fn beginnings(&mut self, now: Millis) -> Vec<(SessionId, WindowUsage)> {
         let begin = self
             .homes
             .iter_mut()
@@ -140,7 +140,7 @@
         if begin.is_empty() {
             return Vec::new();
         }
-        let recent = self.recent.known(now, self.part);
+        let recent = self.recent.snapshot(now, self.part);
         begin.into_iter().map(|session| (session, recent.clone())).collect()
     }
 
--- a/crates/marker/tests/common/world.rs
+++ b/crates/marker/tests/common/world.rs
@@ -9,8 +9,8 @@
 
 #![allow(dead_code)] // Each file of tests uses a part.
 
-use granitelead_common::kinds::Kind;
-use granitelead_control_protocol::words::{Between, Document, Node, Number};
+use granitelead_common::error_kinds::ErrorKind;
+use granitelead_control_protocol::messages::{PeerMessage, Document, Node, ProposalNumber};
 use marker::core::{begin, Core};
 use marker::parts::{Keeping, Output, Reply};
 use std::cmp::Reverse;
@@ -45,7 +45,7 @@
     pub disk_ms: u64,
     pub cut: bool,
     pub deaf: bool,
-    pub held: Vec<(Node, Between)>,
+    pub held: Vec<(Node, PeerMessage)>,
     pub founder: bool,
     /// When it was told to end.
     pub told: u64,
@@ -56,7 +56,7 @@
 
 #[derive(Debug)]
 pub enum Event {
-    Word(usize, u32, Node, Box<Between>),
+    Word(usize, u32, Node, Box<PeerMessage>),
     Written(usize, u32, u64, Box<Keeping>),
     Tick(usize, u32),
     Ended(usize, u32),
@@ -114,12 +114,12 @@
     pub acked: u32,
     pub read: Option<u32>,
     /// Which marker answered in which epoch.
-    pub primaries: BTreeMap<Number, Ipv4Addr>,
+    pub primaries: BTreeMap<ProposalNumber, Ipv4Addr>,
     pub lossy: f64,
     /// How many of the answers to operators are lost.
     pub answers_lost: f64,
     /// Falsifies what markers say.
-    pub tamper: Option<fn(&mut Between)>,
+    pub tamper: Option<fn(&mut PeerMessage)>,
     pub losses: usize,
 }
 
@@ -301,7 +301,7 @@
         }
     }
 
-    pub fn answered(&mut self, id: u64, n: usize, reply: Reply, epoch: Option<Number>) {
+    pub fn answered(&mut self, id: u64, n: usize, reply: Reply, epoch: Option<ProposalNumber>) {
         if let (Reply::Json(_), Some(Asked::Put(version, content))) =
             (&reply, self.seen.get(&id).map(|s| &s.call))
         {
@@ -321,7 +321,7 @@
                 end = Some(Clear::Confirmed);
                 None
             }
-            (Reply::Fault(Kind::Conflict, _), Some(Call::Put(..))) => {
+            (Reply::Fault(ErrorKind::Conflict, _), Some(Call::Put(..))) => {
                 end = Some(Clear::Refused);
                 None
             }
--- a/crates/marker/tests/core.rs
+++ b/crates/marker/tests/core.rs
@@ -4,7 +4,7 @@
 
 use common::world::{ip, play, play_with, Call, Clear, World, FAULTS};
 use googletest::prelude::*;
-use granitelead_control_protocol::words::{Between, Number};
+use granitelead_control_protocol::messages::{PeerMessage, ProposalNumber};
 use marker::core::{begin, Core};
 use marker::parts::Output;
 use std::net::Ipv4Addr;
@@ -474,9 +474,9 @@
     let (mut inbox, mut core) = (Vec::new(), None);
     for now in (0..600).step_by(25) {
         let mut out = Vec::new();
-        let (epoch, others) = (Number::default(), vec![ip(2)]);
+        let (epoch, others) = (ProposalNumber::default(), vec![ip(2)]);
         let (duties, standing) = (Vec::new(), Default::default());
-        let hear = Between::Hear { epoch, leads: false, led: false, sure: None, others, duties, standing };
+        let hear = PeerMessage::Heartbeat { epoch, is_primary: false, has_primary: false, committed: None, reachable: others, duties, status: standing };
         a.on_word(now, node(1), hear, &mut out);
         for word in std::mem::take(&mut inbox) {
             a.on_word(now, node(1), word, &mut out);
@@ -486,10 +486,10 @@
             match output {
                 Output::Write(ticket, _) => a.on_written(now, ticket, &mut out),
                 Output::Send(to, word) if to == ip(1) => match word {
-                    Between::Prepare(number) => inbox.push(Between::Promise(number, a.view().epoch)),
-                    Between::Copy(number, _) => inbox.push(Between::Copied(number)),
-                    Between::Keep(epoch) => {
-                        inbox.push(Between::Kept(epoch.number));
+                    PeerMessage::Prepare(number) => inbox.push(PeerMessage::Promise(number, a.view().epoch)),
+                    PeerMessage::InstallSnapshot(number, _) => inbox.push(PeerMessage::SnapshotInstalled(number)),
+                    PeerMessage::AcceptEpoch(epoch) => {
+                        inbox.push(PeerMessage::EpochAccepted(epoch.number));
                         core = Some(epoch.core);
                     }
                     _ => {}
--- a/crates/marker/tests/history.rs
+++ b/crates/marker/tests/history.rs
@@ -8,7 +8,7 @@
 use common::world::{Event, World};
 use googletest::prelude::*;
 use granitelead_control_protocol::frames;
-use granitelead_control_protocol::words::{Between, Document, Revision, Word};
+use granitelead_control_protocol::messages::{PeerMessage, Document, Revision, Message};
 use marker::core::begin;
 use marker::parts::Keeping;
 use marker::store::Store;
@@ -66,7 +66,7 @@
             let first = std::mem::replace(&mut self.seen, self.world.next) + 1;
             for event in self.world.events.range(first..).map(|(_, event)| event) {
                 if let Event::Word(to, _, from, word) = event {
-                    self.told[*to] += frames::write(&Word::Between(*from, Between::clone(word))).len();
+                    self.told[*to] += frames::encode(&Message::Peer(*from, PeerMessage::clone(word))).len();
                 }
             }
             if let Some(n) = self.world.primary().filter(|_| self.newest > 0) {
--- a/crates/marker/tests/losses.rs
+++ b/crates/marker/tests/losses.rs
@@ -22,7 +22,7 @@
 fn core_of(world: &World) -> Vec<usize> {
     let primary = world.primary().expect("somebody leads");
     let epoch = world.places[primary].core.as_ref().unwrap().view().epoch.unwrap();
-    assert_eq!(epoch.core, epoch.before, "a change of the core is under way");
+    assert_eq!(epoch.core, epoch.previous_core, "a change of the core is under way");
     (0..world.places.len()).filter(|n| epoch.core.iter().any(|node| node.ip == ip(*n))).collect()
 }
 
@@ -48,7 +48,7 @@
                 let Some(primary) = world.primary() else { return false };
                 let epoch = world.places[primary].core.as_ref().unwrap().view().epoch.unwrap();
                 let forgets = |ip| world.places.iter().any(|p| p.ip == ip && p.forgets);
-                epoch.core == epoch.before
+                epoch.core == epoch.previous_core
                     && epoch.core.len() == 2 * losses + 1
                     && !epoch.core.iter().any(|node| forgets(node.ip))
             };
--- a/crates/marker/tests/model.rs
+++ b/crates/marker/tests/model.rs
@@ -9,8 +9,8 @@
 //!
 //! Each rule has a variant that breaks it, by tampering with what goes in or comes out, and is caught.
 
-use granitelead_control_protocol::ledger::Known;
-use granitelead_control_protocol::words::{Between, Digest, Document, Epoch, Ledger, Node, Number, Whole};
+use granitelead_control_protocol::ledger::VersionState;
+use granitelead_control_protocol::messages::{PeerMessage, Digest, Document, Epoch, Ledger, Node, ProposalNumber, Snapshot};
 use marker::agreement::{Act, Agreement, Orders, Then};
 use marker::core::begin;
 use marker::parts::Keeping;
@@ -75,7 +75,7 @@
     writes: Vec<Option<(Kept, BTreeSet<Then>)>>,
     /// Whom each takes as backups, a bit a marker, and how it changes the core.
     takes: Vec<(u8, Change)>,
-    said: BTreeSet<(Node, usize, Arc<Between>)>,
+    said: BTreeSet<(Node, usize, Arc<PeerMessage>)>,
     begun: u8,
     changed: u8,
     lost_power: u8,
@@ -85,7 +85,7 @@
     /// The newest version that was answered for, and what was confirmed under each.
     answered: u32,
     contents: BTreeMap<u32, Digest>,
-    primaries: BTreeMap<Number, Node>,
+    primaries: BTreeMap<ProposalNumber, Node>,
     /// A read under way: where, and what had been answered for when it was begun.
     reads: Option<(usize, u32)>,
     has_read: bool,
@@ -94,7 +94,7 @@
 
 /// [`Keeping`] as far as the agreement goes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Kept(Node, Number, Number, Option<Epoch>, Option<Arc<Document>>, Option<u32>, Arc<Ledger>);
+struct Kept(Node, ProposalNumber, ProposalNumber, Option<Epoch>, Option<Arc<Document>>, Option<u32>, Arc<Ledger>);
 
 impl From<Keeping> for Kept {
     fn from(k: Keeping) -> Kept {
@@ -123,7 +123,7 @@
     Written(usize),
     PowerLost(usize),
     Wiped(usize),
-    Comes(Node, usize, Arc<Between>),
+    Comes(Node, usize, Arc<PeerMessage>),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -168,15 +168,15 @@
                     let to = (0..self.markers).find(|m| ip(*m) == to).unwrap();
                     let me = world.markers[n].me();
                     match (&word, self.broken) {
-                        (Between::Hold(number, change), Broken::AnswersEarly) => {
-                            let held = Between::Held(*number, *change.entries.keys().next_back().unwrap());
+                        (PeerMessage::Replicate(number, change), Broken::AnswersEarly) => {
+                            let held = PeerMessage::Replicated(*number, *change.entries.keys().next_back().unwrap());
                             let backup = world.markers[n].leads().unwrap().1[0];
                             at(world, n).take(backup, held, &mut more);
                         }
-                        (Between::Keep(epoch), Broken::KeptByOne) => {
+                        (PeerMessage::AcceptEpoch(epoch), Broken::KeptByOne) => {
                             let number = epoch.number;
                             for node in epoch.core.clone() {
-                                at(world, n).take(node, Between::Kept(number), &mut more);
+                                at(world, n).take(node, PeerMessage::EpochAccepted(number), &mut more);
                             }
                         }
                         _ => {}
@@ -214,7 +214,7 @@
                     }
                     let ledger = world.markers[n].ledger();
                     let lacks = |(version, digest): (&u32, &Digest)| {
-                        ledger.known(*version) != Known::Content(*digest)
+                        ledger.lookup(*version) != VersionState::Content(*digest)
                     };
                     if newest && world.contents.iter().any(lacks) {
                         world.wrong = Some("a primary lacks which content a number stands for");
@@ -260,7 +260,7 @@
         &self,
         world: &World,
         n: usize,
-        number: Number,
+        number: ProposalNumber,
         newest: &Epoch,
         willing: &BTreeSet<Node>,
     ) -> Option<Epoch> {
@@ -269,7 +269,7 @@
         let mut core = newest.core.clone();
         let now = |node: &Node| world.markers.iter().map(|m| m.me()).find(|m| m.ip == node.ip);
         let waits = world.markers[self.markers - 1].me();
-        if newest.core == newest.before {
+        if newest.core == newest.previous_core {
             if let Some(place) = core.iter().position(|node| now(node) != Some(*node)) {
                 core[place] = now(&core[place])?;
             } else if !core.contains(&waits) {
@@ -290,7 +290,7 @@
         (enough && backups.iter().all(|node| willing.contains(node))).then(|| Epoch {
             number,
             core,
-            before: newest.core.clone(),
+            previous_core: newest.core.clone(),
             primary: Some(me),
             backups,
         })
@@ -324,7 +324,7 @@
     fn start(&self, world: &mut World, n: usize) {
         world.writes[n] = None;
         if self.broken == Broken::ForgetsPromises {
-            world.disks[n].1 = Number::default();
+            world.disks[n].1 = ProposalNumber::default();
         }
         world.markers[n] = Arc::new(Agreement::new(world.disks[n].clone().into()));
         if world.reads.is_some_and(|(at, _)| at == n) {
@@ -354,15 +354,15 @@
 
 /// Whether a word may still change anything where it goes to: what is below a promise that is on disk is refused for ever,
 /// and nobody waits for answers to what is over.
-fn matters(marker: &Agreement, disk: &Kept, word: &Between) -> bool {
+fn matters(marker: &Agreement, disk: &Kept, word: &PeerMessage) -> bool {
     let waits = |number| marker.asks() == Some(number) || marker.leads().is_some_and(|(n, _)| n == number);
     match word {
-        Between::Prepare(n) | Between::Copy(n, _) | Between::Hold(n, _) | Between::Check(n, _) => {
+        PeerMessage::Prepare(n) | PeerMessage::InstallSnapshot(n, _) | PeerMessage::Replicate(n, _) | PeerMessage::ConfirmEpoch(n, _) => {
             *n >= disk.1
         }
-        Between::Keep(epoch) => epoch.number >= disk.1,
-        Between::Promise(n, _) | Between::Copied(n) | Between::Kept(n) => marker.asks() == Some(*n),
-        Between::Held(n, _) | Between::Checked(n, _) => waits(*n),
+        PeerMessage::AcceptEpoch(epoch) => epoch.number >= disk.1,
+        PeerMessage::Promise(n, _) | PeerMessage::SnapshotInstalled(n) | PeerMessage::EpochAccepted(n) => marker.asks() == Some(*n),
+        PeerMessage::Replicated(n, _) | PeerMessage::EpochConfirmed(n, _) => waits(*n),
         // It only makes its hearer give up what could not succeed.
         _ => false,
     }
@@ -406,8 +406,8 @@
         }
         if let Start::Changing(change) = self.start {
             world = calm.next_state(&world, Event::Begin { marker: 0, takes, change }).unwrap();
-            while !world.said.iter().any(|(_, _, word)| matches!(**word, Between::Keep(_))) {
-                let next = |(from, n, word): &(Node, usize, Arc<Between>)| {
+            while !world.said.iter().any(|(_, _, word)| matches!(**word, PeerMessage::AcceptEpoch(_))) {
+                let next = |(from, n, word): &(Node, usize, Arc<PeerMessage>)| {
                     calm.next_state(&world, Event::Comes(*from, *n, word.clone()))
                 };
                 world = world.said.iter().find_map(next).unwrap();
@@ -507,28 +507,28 @@
                 self.start(&mut next, n);
             }
             Event::Comes(from, n, word) => match (self.broken, &*word) {
-                (Broken::CopiesAgain, Between::Copy(..)) => {
-                    let keeping = Keeping { copied: Number::default(), ..next.markers[n].keeping() };
+                (Broken::CopiesAgain, PeerMessage::InstallSnapshot(..)) => {
+                    let keeping = Keeping { copied: ProposalNumber::default(), ..next.markers[n].keeping() };
                     next.markers[n] = Arc::new(Agreement::new(keeping));
-                    self.step(&mut next, n, |a, acts| a.take(from, Between::clone(&word), acts));
+                    self.step(&mut next, n, |a, acts| a.take(from, PeerMessage::clone(&word), acts));
                 }
-                (Broken::LeavesBehind, Between::Promise(number, Some(epoch))) => {
-                    let epoch = Epoch { before: epoch.core.clone(), ..epoch.clone() };
-                    let word = Between::Promise(*number, Some(epoch));
+                (Broken::LeavesBehind, PeerMessage::Promise(number, Some(epoch))) => {
+                    let epoch = Epoch { previous_core: epoch.core.clone(), ..epoch.clone() };
+                    let word = PeerMessage::Promise(*number, Some(epoch));
                     self.step(&mut next, n, |a, acts| a.take(from, word, acts));
                 }
-                (Broken::CopiesNoLedger, Between::Copy(number, Whole { document, .. })) => {
-                    let whole = Whole { document: document.clone(), ledger: Ledger::default() };
-                    self.step(&mut next, n, |a, acts| a.take(from, Between::Copy(*number, whole), acts));
+                (Broken::CopiesNoLedger, PeerMessage::InstallSnapshot(number, Snapshot { document, .. })) => {
+                    let whole = Snapshot { document: document.clone(), ledger: Ledger::default() };
+                    self.step(&mut next, n, |a, acts| a.take(from, PeerMessage::InstallSnapshot(*number, whole), acts));
                 }
-                (Broken::AnybodyLeads, Between::Promise(number, Some(epoch))) => {
+                (Broken::AnybodyLeads, PeerMessage::Promise(number, Some(epoch))) => {
                     let me = next.markers[n].me();
                     let mut epoch = epoch.clone();
                     epoch.backups.push(me);
-                    let word = Between::Promise(*number, Some(epoch));
+                    let word = PeerMessage::Promise(*number, Some(epoch));
                     self.step(&mut next, n, |a, acts| a.take(from, word, acts));
                 }
-                _ => self.step(&mut next, n, |a, acts| a.take(from, Between::clone(&word), acts)),
+                _ => self.step(&mut next, n, |a, acts| a.take(from, PeerMessage::clone(&word), acts)),
             },
         }
         let World { said, markers, disks, .. } = &mut next;
--- a/crates/marker/tests/orders.rs
+++ b/crates/marker/tests/orders.rs
@@ -5,7 +5,7 @@
 
 use common::world::{Asked, Call, Clear, Seen, World, FAULTS};
 use googletest::prelude::*;
-use granitelead_control_protocol::words::{Between, Ledger};
+use granitelead_control_protocol::messages::{PeerMessage, Ledger};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -102,7 +102,7 @@
 }
 
 /// Plays one schedule; what is wrong with its history.
-fn drawn(seed: u64, tamper: Option<fn(&mut Between)>) -> std::result::Result<(), String> {
+fn drawn(seed: u64, tamper: Option<fn(&mut PeerMessage)>) -> std::result::Result<(), String> {
     let (losses, places) = if seed % 8 == 7 { (2, 6) } else { (1, 3) };
     let mut world = World::new(places, 3, seed);
     (world.losses, world.tamper) = (losses, tamper);
@@ -163,13 +163,13 @@
 /// The judge is no use unless it sees markers that forget.
 #[gtest]
 fn markers_that_lose_parts_of_the_ledger_are_caught() {
-    let without: fn(&mut Between) = |word| {
-        if let Between::Copy(_, whole) = word {
+    let without: fn(&mut PeerMessage) = |word| {
+        if let PeerMessage::InstallSnapshot(_, whole) = word {
             whole.ledger = Ledger::default();
         }
     };
-    let newest_only: fn(&mut Between) = |word| {
-        if let Between::Hold(_, change) = word {
+    let newest_only: fn(&mut PeerMessage) = |word| {
+        if let PeerMessage::Replicate(_, change) = word {
             change.entries = change.entries.pop_last().into_iter().collect();
         }
     };
--- a/crates/marker/tests/pushes.rs
+++ b/crates/marker/tests/pushes.rs
@@ -1,7 +1,7 @@
 //! What waits on sessions for gatekeepers that take in slowly, and for those that there is no room for.
 
 use googletest::prelude::*;
-use granitelead_control_protocol::words::{Document, Down, News, Revision};
+use granitelead_control_protocol::messages::{Document, ToGatekeeper, Update, Revision};
 use marker::parts::Output;
 use marker::sessions::{Sessions, SESSIONS_MAX};
 use std::sync::Arc;
@@ -19,10 +19,10 @@
 /// The configurations that were sent to a session, by the number of the news and by version, or that it was ended.
 fn sent(out: &[Output], to: u64) -> Vec<(u64, u32)> {
     let of = |output: &Output| match output {
-        Output::Tell(id, Down::News(number, News::Configuration(d))) if *id == to => {
+        Output::Tell(id, ToGatekeeper::Update(number, Update::Configuration(d))) if *id == to => {
             Some((*number, d.version))
         }
-        Output::Tell(id, Down::News(number, News::Change(d))) if *id == to => Some((*number, d.to.version)),
+        Output::Tell(id, ToGatekeeper::Update(number, Update::ConfigurationDifference(d))) if *id == to => Some((*number, d.to.version)),
         _ => None,
     };
     out.iter().filter_map(of).collect()
--- a/crates/marker/tests/store.rs
+++ b/crates/marker/tests/store.rs
@@ -1,8 +1,8 @@
 //! The folder of a marker: how it keeps which content each number stands for.
 
 use googletest::prelude::*;
-use granitelead_control_protocol::ledger::{Known, NUMBERS_MAX};
-use granitelead_control_protocol::words::{Digest, Document, Ledger};
+use granitelead_control_protocol::ledger::{VersionState, VERSIONS_MAX};
+use granitelead_control_protocol::messages::{Digest, Document, Ledger};
 use marker::core::begin;
 use marker::parts::Keeping;
 use marker::store::Store;
@@ -43,8 +43,8 @@
     let folder = Folder::new("ledger");
     let mut store = Store::open(&folder.0).unwrap();
     let mut ledger = Ledger::default();
-    for version in 1..=NUMBERS_MAX as u32 + 3 {
-        ledger.enter(version, Digest::from(u128::MAX - u128::from(version)));
+    for version in 1..=VERSIONS_MAX as u32 + 3 {
+        ledger.record(version, Digest::from(u128::MAX - u128::from(version)));
     }
     store.write(&keeping(9_000, &ledger)).unwrap();
     drop(store);
@@ -52,7 +52,7 @@
     folder.disk().execute("CREATE TRIGGER t AFTER INSERT ON numbers BEGIN SELECT RAISE(ABORT, 'again') WHERE NEW.version < 5000; END", []).unwrap();
     let mut store = Store::open(&folder.0).unwrap();
     expect_that!(store.read().unwrap(), some(eq(&keeping(9_000, &ledger))));
-    ledger.enter(9_001, Digest([1; 16]));
+    ledger.record(9_001, Digest([1; 16]));
     store.write(&keeping(9_001, &ledger)).unwrap();
     expect_that!(store.read().unwrap(), some(eq(&keeping(9_001, &ledger))));
     // What a copy hands over replaces all.
@@ -79,6 +79,6 @@
             let read = Store::open(&folder.0).unwrap().read().unwrap();
             expect_that!(read, some(eq(&carried)));
         }
-        expect_that!(carried.ledger.known(version), eq(Known::Content(digest)));
+        expect_that!(carried.ledger.lookup(version), eq(VersionState::Content(digest)));
     }
 }
