--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -8,8 +8,8 @@
 //! configurations are newer by their number, and a server that leaves does so, whoever tells it: they are taken from all.
 
 use crate::Millis;
-use granitelead_common::recent_use::Known;
-use granitelead_control_protocol::words::{Difference, Document, Down, Instance, News, Revision, State, Up};
+use granitelead_common::recent_use::WindowUsage;
+use granitelead_control_protocol::messages::{Difference, Document, ToGatekeeper, Instance, Update, Revision, InstanceState, ToMarker};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
@@ -40,7 +40,7 @@
     /// How many gatekeepers there are, and how many of them are missed.
     Gatekeepers(u32, u32),
     /// What all gatekeepers that the home hears have let in of late.
-    Recent(Known),
+    Recent(WindowUsage),
     /// What all others have let in since this was last told, by tenant.
     Others(Vec<(String, u64)>),
 }
@@ -156,14 +156,14 @@
     }
 
     /// A session is up. Gives what to say first.
-    pub fn open(&mut self, now: Millis, ip: Ipv4Addr, has: Option<Revision>, servers: Vec<Instance>) -> Up {
+    pub fn open(&mut self, now: Millis, ip: Ipv4Addr, has: Option<Revision>, servers: Vec<Instance>) -> ToMarker {
         self.pass(now);
         self.sessions.insert(ip, Session { opened: now, heard: now, ..Session::default() });
-        Up::Hello { life: self.life, name: self.name.clone(), has, servers }
+        ToMarker::Hello { incarnation: self.life, name: self.name.clone(), in_force: has, servers }
     }
 
     /// A session has ended.
-    pub fn close(&mut self, ip: Ipv4Addr) -> Vec<(Ipv4Addr, Up)> {
+    pub fn close(&mut self, ip: Ipv4Addr) -> Vec<(Ipv4Addr, ToMarker)> {
         self.sessions.remove(&ip);
         if self.home == Some(ip) {
             self.home = None;
@@ -172,7 +172,7 @@
     }
 
     /// Time passes. Gives what to say of a home that is due now.
-    pub fn look(&mut self, now: Millis) -> Vec<(Ipv4Addr, Up)> {
+    pub fn look(&mut self, now: Millis) -> Vec<(Ipv4Addr, ToMarker)> {
         self.pass(now);
         let mut say = self.leave_silent_home();
         say.extend(self.find_home());
@@ -180,20 +180,20 @@
     }
 
     /// A home that is silent may still hear: it is told that what is let in from now on is not told to it.
-    fn leave_silent_home(&mut self) -> Vec<(Ipv4Addr, Up)> {
+    fn leave_silent_home(&mut self) -> Vec<(Ipv4Addr, ToMarker)> {
         let now = self.now;
         let home = self.home.and_then(|ip| Some((ip, self.sessions.get_mut(&ip)?)));
         let silent = home.filter(|(_, s)| !s.left && s.others.is_some() && now >= s.heard + TOUCH);
         let Some((ip, session)) = silent else { return Vec::new() };
         (session.left, session.began, session.others) = (true, false, None);
-        vec![(ip, Up::Home(false))]
+        vec![(ip, ToMarker::Attach(false))]
     }
 
     /// A home that was silent is heard again.
-    fn return_to_home(&mut self, ip: Ipv4Addr) -> Vec<(Ipv4Addr, Up)> {
+    fn return_to_home(&mut self, ip: Ipv4Addr) -> Vec<(Ipv4Addr, ToMarker)> {
         let session = self.sessions.get_mut(&ip).filter(|_| self.home == Some(ip));
         match session.map(|s| std::mem::take(&mut s.left)) {
-            Some(true) => vec![(ip, Up::Home(true))],
+            Some(true) => vec![(ip, ToMarker::Attach(true))],
             _ => Vec::new(),
         }
     }
@@ -237,7 +237,7 @@
 
     /// The home is a marker of this zone that has told all, else whichever has for longest. One that is out of contact
     /// stays it only while no other is in contact, and becomes it only if none has been for [`ALONE`].
-    fn find_home(&mut self) -> Vec<(Ipv4Addr, Up)> {
+    fn find_home(&mut self) -> Vec<(Ipv4Addr, ToMarker)> {
         let near = |s: &Session| s.zone.as_ref() == Some(&self.zone);
         let good = |s: &Session| s.contact && s.heard_since;
         let may = |ip: &Ipv4Addr, s: &Session| good(s) || self.home == Some(*ip) || self.is_alone();
@@ -248,13 +248,13 @@
         if best == self.home {
             return Vec::new();
         }
-        let mut say: Vec<(Ipv4Addr, Up)> = self.home.into_iter().map(|ip| (ip, Up::Home(false))).collect();
+        let mut say: Vec<(Ipv4Addr, ToMarker)> = self.home.into_iter().map(|ip| (ip, ToMarker::Attach(false))).collect();
         self.home = best;
         if let Some(session) = best.and_then(|ip| self.sessions.get_mut(&ip)) {
             (session.others, session.left, session.began) = (None, false, false);
         }
         if let Some(ip) = best {
-            say.push((ip, Up::Home(true)));
+            say.push((ip, ToMarker::Attach(true)));
             // What the former home may not have counted is told again: rather twice than never.
             let again = std::mem::take(&mut self.uncounted).into_iter().flat_map(|(_, adds)| adds);
             for (tenant, n) in again {
@@ -265,7 +265,7 @@
     }
 
     /// The same for all markers.
-    pub fn tell_all(&self, word: &Up) -> Vec<(Ipv4Addr, Up)> {
+    pub fn tell_all(&self, word: &ToMarker) -> Vec<(Ipv4Addr, ToMarker)> {
         self.sessions.keys().map(|ip| (*ip, word.clone())).collect()
     }
 
@@ -278,13 +278,13 @@
         if session.contact || alone {
             return servers;
         }
-        let (ready, leave): (Vec<_>, Vec<_>) = servers.into_iter().partition(|s| s.state == State::Ready);
+        let (ready, leave): (Vec<_>, Vec<_>) = servers.into_iter().partition(|s| s.state == InstanceState::Ready);
         session.ready.extend(ready.into_iter().map(|server| (server.id.clone(), server)));
         leave
     }
 
     /// A marker says something. Gives what it changes, and what to say.
-    pub fn take(&mut self, now: Millis, ip: Ipv4Addr, word: Down) -> (Option<Change>, Vec<(Ipv4Addr, Up)>) {
+    pub fn take(&mut self, now: Millis, ip: Ipv4Addr, word: ToGatekeeper) -> (Option<Change>, Vec<(Ipv4Addr, ToMarker)>) {
         if let Some(session) = self.sessions.get_mut(&ip) {
             (session.heard, session.heard_since) = (now, true);
         }
@@ -295,31 +295,31 @@
         (change, say)
     }
 
-    fn take_word(&mut self, now: Millis, ip: Ipv4Addr, word: Down) -> (Option<Change>, Vec<(Ipv4Addr, Up)>) {
+    fn take_word(&mut self, now: Millis, ip: Ipv4Addr, word: ToGatekeeper) -> (Option<Change>, Vec<(Ipv4Addr, ToMarker)>) {
         match word {
-            Down::Pong => (None, Vec::new()),
-            Down::News(number, news) => {
-                let mut say = vec![(ip, Up::Got(number))];
+            ToGatekeeper::Pong => (None, Vec::new()),
+            ToGatekeeper::Update(number, news) => {
+                let mut say = vec![(ip, ToMarker::Acknowledge(number))];
                 let change = match news {
-                    News::Configuration(document) if self.begun => Some(Change::Configuration(document)),
-                    News::Configuration(document) => {
+                    Update::Configuration(document) if self.begun => Some(Change::Configuration(document)),
+                    Update::Configuration(document) => {
                         if let Some(session) = self.sessions.get_mut(&ip) {
                             session.first = Some(document);
                         }
                         None
                     }
-                    News::Change(difference) if self.begun => Some(Change::Difference(difference)),
-                    News::Change(difference) => {
+                    Update::ConfigurationDifference(difference) if self.begun => Some(Change::Difference(difference)),
+                    Update::ConfigurationDifference(difference) => {
                         // Of what was kept aside, if it was told from that.
                         let session = self.sessions.get_mut(&ip);
                         let first = session.and_then(|s| s.first.as_mut());
                         match first.and_then(|d| difference.apply(d).ok().map(|next| (d, next))) {
                             Some((first, next)) => *first = next,
-                            None => say.push((ip, Up::Lacks(None))),
+                            None => say.push((ip, ToMarker::RequestFull(None))),
                         }
                         None
                     }
-                    News::Contact(contact) => {
+                    Update::Contact(contact) => {
                         if self.home == Some(ip) && !contact {
                             self.sessions.values_mut().for_each(|s| s.heard_since = false);
                         }
@@ -330,11 +330,11 @@
                         say.extend(self.find_home());
                         None
                     }
-                    News::Servers(servers) => {
+                    Update::Servers(servers) => {
                         let servers = self.keep_aside(ip, servers);
                         (!servers.is_empty()).then_some(Change::Servers(servers))
                     }
-                    News::Markers(markers) => {
+                    Update::Markers(markers) => {
                         // One that is out of contact names whom it hears still: too few.
                         let contact = |s: &Session| s.contact;
                         if !self.sessions.values().any(contact) || self.sessions.get(&ip).is_some_and(contact)
@@ -343,14 +343,14 @@
                         }
                         None
                     }
-                    News::Gatekeepers(n, missed) => {
+                    Update::Gatekeepers(n, missed) => {
                         if let Some(session) = self.sessions.get_mut(&ip) {
                             session.members = Some((n, missed));
                         }
                         // Where markers are cut apart each counts the others' gatekeepers as missed.
                         (self.home == Some(ip)).then_some(Change::Gatekeepers(n, missed))
                     }
-                    News::Whole(zone) => {
+                    Update::Synchronized(zone) => {
                         if let Some(session) = self.sessions.get_mut(&ip) {
                             session.zone = Some(zone);
                         }
@@ -360,14 +360,14 @@
                 };
                 (change, say)
             }
-            Down::Recent(recent) => {
+            ToGatekeeper::Recent(recent) => {
                 let is_home = self.home == Some(ip);
                 if let Some(session) = self.sessions.get_mut(&ip) {
                     session.began = is_home && !session.left;
                 }
                 (is_home.then_some(Change::Recent(recent)), Vec::new())
             }
-            Down::Totals(counted, totals) => {
+            ToGatekeeper::Totals(counted, totals) => {
                 let home = self.sessions.get_mut(&ip).filter(|s| self.home == Some(ip) && s.began);
                 let Some(session) = home else { return (None, Vec::new()) };
                 self.uncounted.retain(|(number, _)| *number > counted);
@@ -397,7 +397,7 @@
     }
 
     /// What to tell the home of what was let in since the last time.
-    pub fn batch(&mut self, now: Millis) -> Option<(Ipv4Addr, Up)> {
+    pub fn batch(&mut self, now: Millis) -> Option<(Ipv4Addr, ToMarker)> {
         if !self.in_touch(now) {
             // It was let in from the part that the others leave to whoever they miss.
             self.let_in.clear();
@@ -410,7 +410,7 @@
         }
         let adds = std::mem::take(&mut self.let_in);
         self.number += 1;
-        let up = Up::Adds(self.number, adds.iter().map(|(tenant, n)| (tenant.clone(), *n)).collect());
+        let up = ToMarker::Usage(self.number, adds.iter().map(|(tenant, n)| (tenant.clone(), *n)).collect());
         if self.uncounted.len() >= UNCOUNTED_MAX {
             if let Some((_, oldest)) = self.uncounted.first_mut() {
                 adds.into_iter().for_each(|(tenant, n)| *oldest.entry(tenant).or_default() += n);
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -112,7 +112,7 @@
 pub async fn forward(front: &Front, parts: &Parts, body: Bytes, pass: &Pass) -> Response<ResponseBody> {
     let route = pass.route();
     let state = RequestState {
-        repeats: route.repeats,
+        repeats: route.retry_safety,
         begun: front.now(),
         deadline: pass.deadline,
         aim: route.target.as_millis() as Millis,
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -7,8 +7,8 @@
 use crate::pool::ConnectionPool;
 use crate::Millis;
 use bytes::Bytes;
-use granitelead_common::configuration::Repeats;
-use granitelead_common::kinds::Kind;
+use granitelead_common::configuration::RetrySafety;
+use granitelead_common::error_kinds::ErrorKind;
 use hyper::header::{HeaderValue, HOST, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::Response;
@@ -67,7 +67,7 @@
         let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
         let gate = self.gate.borrow();
         let route = gate.configuration.as_ref().and_then(|c| c.route(host, parts.uri.path()));
-        route.is_some_and(|route| route.repeats == Repeats::Safe)
+        route.is_some_and(|route| route.retry_safety == RetrySafety::Idempotent)
     }
 
     /// Completes at this time of the process's clock.
@@ -94,16 +94,16 @@
     }
 
     /// The final answer where no server's is passed on.
-    pub fn refuse(&self, kind: Kind, pass: Option<&Pass>) -> Response<ResponseBody> {
+    pub fn refuse(&self, kind: ErrorKind, pass: Option<&Pass>) -> Response<ResponseBody> {
         self.refuse_for(kind.into(), pass)
     }
 
     /// The same, with what is known of when to come back.
     pub fn refuse_for(&self, refusal: Refusal, pass: Option<&Pass>) -> Response<ResponseBody> {
-        let row = refusal.kind.row();
+        let row = refusal.kind.response();
         let mut response = Response::new(whole(Bytes::from(format!("{}: {}\n", row.name, row.advice))));
         *response.status_mut() = hyper::StatusCode::from_u16(row.status).unwrap_or_default();
-        if row.promises {
+        if row.not_executed {
             let aim = pass.map_or(200, |pass| pass.route().target.as_millis() as Millis);
             let wait = self.gate.borrow_mut().come_back(aim, refusal.wait);
             let text = format!("{:.3}", wait as f64 / 1e3);
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -10,9 +10,9 @@
 use crate::tenants::Tenants;
 use crate::Millis;
 use granitelead_common::configuration::{self, Configuration, Route};
-use granitelead_common::kinds::Kind;
+use granitelead_common::error_kinds::ErrorKind;
 use granitelead_common::settings::Bounds;
-use granitelead_control_protocol::words::{Document, Down, Revision, Up};
+use granitelead_control_protocol::messages::{Document, ToGatekeeper, Revision, ToMarker};
 use hyper::header::{HeaderMap, AUTHORIZATION};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -50,13 +50,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// What it is answered with.
-    pub kind: Kind,
+    pub kind: ErrorKind,
     /// When it would be let in, where that is known.
     pub wait: Option<Millis>,
 }
 
-impl From<Kind> for Refusal {
-    fn from(kind: Kind) -> Refusal {
+impl From<ErrorKind> for Refusal {
+    fn from(kind: ErrorKind) -> Refusal {
         Refusal { kind, wait: None }
     }
 }
@@ -116,19 +116,19 @@
     }
 
     /// What a marker told changes. Gives what to say to markers.
-    pub fn take(&mut self, now: Millis, from: Ipv4Addr, change: Change) -> Vec<(Ipv4Addr, Up)> {
+    pub fn take(&mut self, now: Millis, from: Ipv4Addr, change: Change) -> Vec<(Ipv4Addr, ToMarker)> {
         match change {
             Change::Configuration(document) => return self.put_in_force(from, document),
             Change::Difference(difference) => {
                 if let Some(has) = self.has(difference.to.version) {
-                    return vec![(from, Up::Has(has))];
+                    return vec![(from, ToMarker::InForce(has))];
                 }
                 match self.document.as_ref().map(|document| difference.apply(document)) {
                     Some(Ok(document)) => return self.put_in_force(from, document),
                     Some(Err(fault)) => log::info!("a change from {from}, which is wanted whole: {fault}"),
                     None => log::info!("a change from {from} where nothing is in force"),
                 }
-                return vec![(from, Up::Lacks(self.revision()))];
+                return vec![(from, ToMarker::RequestFull(self.revision()))];
             }
             Change::Servers(told) => self.servers.take(now, told),
             Change::Whole => self.whole = true,
@@ -148,9 +148,9 @@
     }
 
     /// A configuration, checked whole, unless a newer one is in force: all markers are told, so that none tells it again.
-    fn put_in_force(&mut self, from: Ipv4Addr, document: Document) -> Vec<(Ipv4Addr, Up)> {
+    fn put_in_force(&mut self, from: Ipv4Addr, document: Document) -> Vec<(Ipv4Addr, ToMarker)> {
         if let Some(has) = self.has(document.version) {
-            return vec![(from, Up::Has(has))];
+            return vec![(from, ToMarker::InForce(has))];
         }
         match configuration::parse(&document.bytes) {
             Ok(read) if read.version != document.version => {
@@ -159,7 +159,7 @@
             }
             Ok(read) => {
                 self.configuration = Some(Rc::new(read));
-                let has = Up::Has(document.revision());
+                let has = ToMarker::InForce(document.revision());
                 self.document = Some(document);
                 self.control.tell_all(&has)
             }
@@ -183,9 +183,9 @@
         path: &str,
         headers: &HeaderMap,
     ) -> Result<Pass, Refusal> {
-        let Some(configuration) = self.configuration.clone() else { return Err(Kind::NotReady.into()) };
-        let route = configuration.route(host, path).ok_or(Refusal::from(Kind::Unknown))?;
-        let tenant = if configuration.keyed {
+        let Some(configuration) = self.configuration.clone() else { return Err(ErrorKind::NotReady.into()) };
+        let route = configuration.route(host, path).ok_or(Refusal::from(ErrorKind::Unknown))?;
+        let tenant = if configuration.requires_key {
             let key = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
             let key = key.and_then(|value| value.split_once(' '));
             let bearer =
@@ -193,14 +193,14 @@
             match bearer.and_then(|key| configuration.keys.get(key)) {
                 Some(tenant) => Some(&configuration.tenants[*tenant]),
                 None if route.public => None,
-                None => return Err(Kind::Key.into()),
+                None => return Err(ErrorKind::UnknownKey.into()),
             }
         } else {
             None
         };
         let id = headers.get(names::ATTEMPT).is_some_and(|id| !id.is_empty());
         if !id {
-            return Err(Kind::Malformed.into());
+            return Err(ErrorKind::Malformed.into());
         }
         let told = headers.get(names::DEADLINE).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
         let time = told.map_or(route.timeout, Duration::from_millis).min(route.timeout);
@@ -209,12 +209,12 @@
         let dice = self.rng.f64();
         let service = self.splits.next(configuration.version, &host, place, route, dice);
         let service = service.and_then(|place| configuration.services.get(place));
-        let service = service.map(|service| service.name.clone()).ok_or(Refusal::from(Kind::NoRoom))?;
+        let service = service.map(|service| service.name.clone()).ok_or(Refusal::from(ErrorKind::Overloaded))?;
         let mut deadline = now + (time.as_millis() as Millis).saturating_sub(MARGIN);
         if let Some(drain) = &self.drain {
             let aim = route.target.as_millis() as Millis;
             let usual = self.servers.typical(&service, aim).map_or(aim, |usual| usual as Millis);
-            deadline = drain.deadline(now, deadline, usual).ok_or(Refusal::from(Kind::NoRoom))?;
+            deadline = drain.deadline(now, deadline, usual).ok_or(Refusal::from(ErrorKind::Overloaded))?;
         }
         let pass = Pass {
             service,
@@ -227,7 +227,7 @@
         };
         if let Some(tenant) = tenant {
             if let Some(wait) = self.tenants.beyond(now, tenant) {
-                return Err(Refusal { kind: Kind::Quota, wait: Some(wait) });
+                return Err(Refusal { kind: ErrorKind::Quota, wait: Some(wait) });
             }
             self.control.add(&tenant.name);
         }
@@ -235,7 +235,7 @@
     }
 
     /// A marker says something. Gives what to say, and to whom.
-    pub fn on_down(&mut self, now: Millis, ip: Ipv4Addr, word: Down) -> Vec<(Ipv4Addr, Up)> {
+    pub fn on_down(&mut self, now: Millis, ip: Ipv4Addr, word: ToGatekeeper) -> Vec<(Ipv4Addr, ToMarker)> {
         let (change, mut say) = self.control.take(now, ip, word);
         if let Some(change) = change {
             say.extend(self.take(now, ip, change));
@@ -245,14 +245,14 @@
     }
 
     /// Takes in what markers told before it was to be taken.
-    fn take_due(&mut self, now: Millis, say: &mut Vec<(Ipv4Addr, Up)>) {
+    fn take_due(&mut self, now: Millis, say: &mut Vec<(Ipv4Addr, ToMarker)>) {
         while let Some((ip, change)) = self.control.due() {
             say.extend(self.take(now, ip, change));
         }
     }
 
     /// What is to be told of what was let in; and whether what the others let in is known.
-    pub fn on_batch(&mut self, now: Millis) -> Vec<(Ipv4Addr, Up)> {
+    pub fn on_batch(&mut self, now: Millis) -> Vec<(Ipv4Addr, ToMarker)> {
         let mut say = self.control.look(now);
         self.take_due(now, &mut say);
         if let Some((all, missed)) = self.control.members() {
--- a/crates/proxy/src/handler.rs
+++ b/crates/proxy/src/handler.rs
@@ -6,7 +6,7 @@
 use crate::messages::ResponseBody;
 use crate::pool::names;
 use bytes::Bytes;
-use granitelead_common::kinds::Kind;
+use granitelead_common::error_kinds::ErrorKind;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HOST};
@@ -66,7 +66,7 @@
 
 async fn handle(front: &Front, parts: &Parts, body: Option<&mut Incoming>) -> Response<ResponseBody> {
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
-    let Some(host) = host.or(parts.uri.host()) else { return front.refuse(Kind::Malformed, None) };
+    let Some(host) = host.or(parts.uri.host()) else { return front.refuse(ErrorKind::Malformed, None) };
     wait_for_configuration(front, &parts.headers).await;
     let admitted = front.gate.borrow_mut().admit(front.now(), host, parts.uri.path(), &parts.headers);
     let pass = match admitted {
@@ -74,7 +74,7 @@
         Err(refusal) => return front.refuse_for(refusal, None),
     };
     let _tenant = TenantOpen::begin(front, &pass);
-    let limit = usize::try_from(pass.configuration.limits.body).unwrap_or(usize::MAX);
+    let limit = usize::try_from(pass.configuration.limits.max_body_bytes).unwrap_or(usize::MAX);
     let body = match body {
         None => Bytes::new(),
         Some(body) => match collect(body, limit.min(front.held_max)).await {
@@ -84,7 +84,7 @@
     };
     let _held = Counted::up(&front.held, body.len());
     if front.held.get() > front.held_max {
-        return front.refuse(Kind::NoRoom, Some(&pass));
+        return front.refuse(ErrorKind::Overloaded, Some(&pass));
     }
     forward(front, parts, body, &pass).await
 }
@@ -101,11 +101,11 @@
     let _ = tokio::time::timeout(wait, known).await;
 }
 
-async fn collect(body: &mut Incoming, limit: usize) -> Result<Bytes, Kind> {
+async fn collect(body: &mut Incoming, limit: usize) -> Result<Bytes, ErrorKind> {
     match tokio::time::timeout(BODY_TIME, Limited::new(body, limit).collect()).await {
-        Err(_) => Err(Kind::TooSlow),
+        Err(_) => Err(ErrorKind::TooSlow),
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Kind::TooLarge),
-        Ok(Err(_)) => Err(Kind::Malformed),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(ErrorKind::TooLarge),
+        Ok(Err(_)) => Err(ErrorKind::Malformed),
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -49,7 +49,7 @@
 
 /// Runs a gatekeeper; its exit status.
 pub fn run() -> ExitCode {
-    if let Some(status) = granitelead_common::command::options("granitelead-proxy", HELP) {
+    if let Some(status) = granitelead_common::command::parse_command_line("granitelead-proxy", HELP) {
         return status;
     }
     start()
@@ -57,13 +57,13 @@
 
 /// Runs a gatekeeper without looking at the command line; its exit status.
 pub fn start() -> ExitCode {
-    let settings = match granitelead_common::command::begin("granitelead-proxy") {
+    let settings = match granitelead_common::command::initialize("granitelead-proxy") {
         Ok(settings) => settings,
         Err(status) => return status,
     };
     let (Some(front), Some(readiness)) = (settings.front, settings.readiness) else {
         eprintln!("granitelead-proxy: settings: listen-addresses: front and readiness are expected");
-        return ExitCode::from(granitelead_common::command::UNUSABLE);
+        return ExitCode::from(granitelead_common::command::EXIT_INVALID_INPUT);
     };
     granitelead_base::run(
         "granitelead-proxy",
--- a/crates/proxy/src/listeners.rs
+++ b/crates/proxy/src/listeners.rs
@@ -41,7 +41,7 @@
     if front.drain().is_some() {
         connection.request_close(CLOSE_PATIENCE);
     }
-    let head = front.gate.borrow().configuration.as_ref().map_or(HEAD_LEAST, |c| c.limits.head);
+    let head = front.gate.borrow().configuration.as_ref().map_or(HEAD_LEAST, |c| c.limits.max_header_bytes);
     let (its_front, its_connection) = (front.clone(), connection.clone());
     let service = service_fn(move |request: Request<Incoming>| {
         let (front, connection) = (its_front.clone(), its_connection.clone());
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -60,7 +60,7 @@
     let headers = request.headers_mut();
     for (name, value) in &parts.headers {
         let own = [names::DEADLINE, names::EXPECTED, names::TENANT].contains(name);
-        let key = *name == AUTHORIZATION && pass.configuration.keyed;
+        let key = *name == AUTHORIZATION && pass.configuration.requires_key;
         if !own && !key && !is_for_one_connection(name, &named) {
             headers.append(name, value.clone());
         }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use granitelead_base::set_user_timeout;
 use granitelead_base::wire::{Place, Wire, WireIo};
-use granitelead_common::configuration::Repeats;
+use granitelead_common::configuration::RetrySafety;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Body as _;
 use hyper::body::Incoming;
@@ -120,14 +120,14 @@
     }
 
     /// A connection that rests and may carry such a request.
-    fn take(&self, to: SocketAddr, repeats: Repeats) -> Option<Idle> {
+    fn take(&self, to: SocketAddr, repeats: RetrySafety) -> Option<Idle> {
         let now = Instant::now();
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(&to)?;
         idle.retain(|one| now < one.until && one.sender.is_ready() && !one.sender.is_closed());
         // The one that was used last: the others may then be closed.
         loop {
-            let fits = |one: &Idle| repeats == Repeats::Safe || now < one.promised;
+            let fits = |one: &Idle| repeats == RetrySafety::Idempotent || now < one.promised;
             let one = idle.remove(idle.iter().rposition(fits)?);
             // The library sees what has come when the socket is next polled; by then the request would be sent.
             if one.wire.is_quiet() {
@@ -174,7 +174,7 @@
         to: SocketAddr,
         request: Request<Full<Bytes>>,
         id: &[u8],
-        repeats: Repeats,
+        repeats: RetrySafety,
         time: Duration,
     ) -> Attempt {
         let begun = Instant::now();
--- a/crates/proxy/src/request_state.rs
+++ b/crates/proxy/src/request_state.rs
@@ -5,8 +5,8 @@
 
 use crate::servers::Sign;
 use crate::Millis;
-use granitelead_common::configuration::Repeats;
-use granitelead_common::kinds::Kind;
+use granitelead_common::configuration::RetrySafety;
+use granitelead_common::error_kinds::ErrorKind;
 use std::rc::Rc;
 
 /// Time that must be left of a request's for another try to be worth it, in parts of a usual answer.
@@ -42,14 +42,14 @@
     /// Pass on the answer that has come.
     Pass,
     /// Answer so.
-    End(Kind),
+    End(ErrorKind),
 }
 
 /// One request from its reading to its answer.
 #[derive(Clone, Debug)]
 pub struct RequestState {
     /// Whether it may run more than once.
-    pub repeats: Repeats,
+    pub repeats: RetrySafety,
     /// When it was read.
     pub begun: Millis,
     /// When its time is over.
@@ -99,7 +99,7 @@
         if !failed {
             return Next::Pass;
         }
-        let allowed = self.repeats == Repeats::Safe || !self.may_have_run;
+        let allowed = self.repeats == RetrySafety::Idempotent || !self.may_have_run;
         if allowed && self.is_worth_a_try(now, usual) && self.has_attempts() && budget() {
             return Next::Send;
         }
@@ -124,7 +124,7 @@
     }
 
     fn may_hedge(&self) -> bool {
-        self.repeats == Repeats::Safe && self.has_attempts()
+        self.repeats == RetrySafety::Idempotent && self.has_attempts()
     }
 
     fn has_attempts(&self) -> bool {
@@ -136,11 +136,11 @@
     }
 
     /// The final answer where no server's is passed on.
-    pub fn ending(&self, now: Millis) -> Kind {
+    pub fn ending(&self, now: Millis) -> ErrorKind {
         match (self.may_have_run, now >= self.deadline) {
-            (false, _) => Kind::NoRoom,
-            (true, false) => Kind::Upstream,
-            (true, true) => Kind::Deadline,
+            (false, _) => ErrorKind::Overloaded,
+            (true, false) => ErrorKind::Upstream,
+            (true, true) => ErrorKind::Deadline,
         }
     }
 }
@@ -150,7 +150,7 @@
     use super::*;
     use googletest::prelude::*;
 
-    fn request(repeats: Repeats) -> RequestState {
+    fn request(repeats: RetrySafety) -> RequestState {
         let tried = vec!["a".into()];
         RequestState { repeats, begun: 0, deadline: 600, aim: 250, attempts: 2, tried, may_have_run: false }
     }
@@ -164,39 +164,39 @@
             (Outcome::TurnedAway, Next::Send, Next::Send),
             (Outcome::Misdirected, Next::Send, Next::Send),
             (Outcome::NotSent, Next::Send, Next::Send),
-            (Outcome::Broken, Next::End(Kind::Upstream), Next::Send),
-            (Outcome::Silent, Next::End(Kind::Upstream), Next::Send),
+            (Outcome::Broken, Next::End(ErrorKind::Upstream), Next::Send),
+            (Outcome::Silent, Next::End(ErrorKind::Upstream), Next::Send),
         ] {
-            let next = request(Repeats::Once).on_outcome(100, &outcome, 50.0, || true);
+            let next = request(RetrySafety::AtMostOnce).on_outcome(100, &outcome, 50.0, || true);
             expect_that!(next, eq(&once), "{outcome:?}");
-            let next = request(Repeats::Safe).on_outcome(100, &outcome, 50.0, || true);
+            let next = request(RetrySafety::Idempotent).on_outcome(100, &outcome, 50.0, || true);
             expect_that!(next, eq(&safe), "{outcome:?}");
         }
     }
 
     #[gtest]
     fn attempts_time_and_budget_bound_further_tries_and_only_what_did_not_run_is_promised_so() {
-        let mut all_tried = request(Repeats::Safe);
+        let mut all_tried = request(RetrySafety::Idempotent);
         all_tried.tried.push("b".into());
         expect_that!(
             all_tried.on_outcome(100, &Outcome::TurnedAway, 50.0, || true),
-            eq(&Next::End(Kind::NoRoom))
+            eq(&Next::End(ErrorKind::Overloaded))
         );
         expect_that!(
             all_tried.on_outcome(100, &Outcome::Broken, 50.0, || true),
-            eq(&Next::End(Kind::Upstream))
+            eq(&Next::End(ErrorKind::Upstream))
         );
         expect_that!(
             all_tried.on_outcome(100, &Outcome::TurnedAway, 50.0, || true),
-            eq(&Next::End(Kind::Upstream))
+            eq(&Next::End(ErrorKind::Upstream))
         );
-        let mut late = request(Repeats::Safe);
-        expect_that!(late.on_outcome(590, &Outcome::NotSent, 50.0, || true), eq(&Next::End(Kind::NoRoom)));
-        expect_that!(late.on_outcome(600, &Outcome::Silent, 50.0, || true), eq(&Next::End(Kind::Deadline)));
-        let mut poor = request(Repeats::Safe);
+        let mut late = request(RetrySafety::Idempotent);
+        expect_that!(late.on_outcome(590, &Outcome::NotSent, 50.0, || true), eq(&Next::End(ErrorKind::Overloaded)));
+        expect_that!(late.on_outcome(600, &Outcome::Silent, 50.0, || true), eq(&Next::End(ErrorKind::Deadline)));
+        let mut poor = request(RetrySafety::Idempotent);
         expect_that!(
             poor.on_outcome(100, &Outcome::TurnedAway, 50.0, || false),
-            eq(&Next::End(Kind::NoRoom))
+            eq(&Next::End(ErrorKind::Overloaded))
         );
     }
 }
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -109,7 +109,7 @@
             Err(faults) => log::warn!("settings, which stay as they were: {faults}"),
         }
         let limits = front.gate.borrow().configuration.as_ref().map(|c| c.limits.clone()).unwrap_or_default();
-        connections.close_stale(limits.head_time, limits.idle_time);
+        connections.close_stale(limits.header_timeout, limits.idle_timeout);
         front.pool.sweep(|_| true);
     }
 }
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -4,7 +4,7 @@
 //! compared with its service, what is under way there from here, and whether it failed.
 
 use crate::Millis;
-use granitelead_control_protocol::words::{Instance, State};
+use granitelead_control_protocol::messages::{Instance, InstanceState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -84,7 +84,7 @@
         for word in told {
             let id: Rc<str> = word.id.as_str().into();
             let Some(server) = self.by_id.get_mut(&id) else {
-                if word.state != State::Gone {
+                if word.state != InstanceState::Gone {
                     self.services.entry(word.service.clone()).or_default().insert(id.clone());
                     let cold_until = now + word.cold_ms;
                     let server = Server {
@@ -105,14 +105,14 @@
                 continue;
             }
             // Silence at a marker is less than an answer here; a server that says that it ends has ended.
-            let silent = word.state == State::Gone && word.sequence != u64::MAX;
+            let silent = word.state == InstanceState::Gone && word.sequence != u64::MAX;
             if silent && server.answered.is_some_and(|at| now < at + ANSWERED) {
                 continue;
             }
             server.told.update(word);
             server.gone = now;
         }
-        let gone = |s: &Server| s.told.state == State::Gone && s.under_way == 0 && now >= s.gone + REMEMBER;
+        let gone = |s: &Server| s.told.state == InstanceState::Gone && s.under_way == 0 && now >= s.gone + REMEMBER;
         self.by_id.retain(|id, server| {
             let keeps = !gone(server);
             if !keeps {
@@ -126,13 +126,13 @@
 
     /// All that are not gone, as others are to know them.
     pub fn all(&self) -> Vec<Instance> {
-        self.by_id.values().map(|s| &s.told).filter(|told| told.state != State::Gone).cloned().collect()
+        self.by_id.values().map(|s| &s.told).filter(|told| told.state != InstanceState::Gone).cloned().collect()
     }
 
     /// How many are ready, by service.
     pub fn ready(&self, service: &str) -> usize {
         let ids = self.services.get(service).into_iter().flatten();
-        ids.filter(|id| self.by_id.get(*id).is_some_and(|s| s.told.state == State::Ready)).count()
+        ids.filter(|id| self.by_id.get(*id).is_some_and(|s| s.told.state == InstanceState::Ready)).count()
     }
 
     /// A server by its life.
@@ -156,7 +156,7 @@
         let ready: Vec<(&Rc<str>, &Server)> = ids
             .iter()
             .filter_map(|id| self.by_id.get(id).map(|server| (id, server)))
-            .filter(|(id, s)| s.told.state == State::Ready && !tried.contains(*id))
+            .filter(|(id, s)| s.told.state == InstanceState::Ready && !tried.contains(*id))
             .collect();
         let has_room = |s: &Server| f64::from(s.under_way) < f64::from(s.told.slots) * DEEPEST;
         let well: Vec<&(&Rc<str>, &Server)> = ready.iter().filter(|(_, s)| now >= s.avoid_until).collect();
@@ -237,7 +237,7 @@
     use super::*;
     use googletest::prelude::*;
 
-    fn told(id: &str, zone: &str, sequence: u64, state: State) -> Instance {
+    fn told(id: &str, zone: &str, sequence: u64, state: InstanceState) -> Instance {
         Instance {
             id: id.into(),
             service: "s".into(),
@@ -253,7 +253,7 @@
 
     fn servers(zones: &[(&str, &str)]) -> Servers {
         let mut servers = Servers::new("a", 1);
-        servers.take(0, zones.iter().map(|(id, zone)| told(id, zone, 1, State::Ready)).collect());
+        servers.take(0, zones.iter().map(|(id, zone)| told(id, zone, 1, InstanceState::Ready)).collect());
         servers
     }
 
@@ -289,7 +289,7 @@
         servers.end(1_000, "x", Sign::Absent, 250);
         expect_that!(picks(&mut servers, 1_000), eq(&BTreeMap::from([(Rc::from("y"), 200)])));
         expect_that!(servers.pick(1_000, "s", &["y".into()]).as_deref(), some(eq("z")));
-        servers.take(1_000, vec![told("y", "a", 2, State::Draining)]);
+        servers.take(1_000, vec![told("y", "a", 2, InstanceState::Draining)]);
         expect_that!(servers.ready("s"), eq(2));
         expect_that!(picks(&mut servers, 1_000), eq(&BTreeMap::from([(Rc::from("z"), 200)])));
     }
@@ -299,9 +299,9 @@
         let mut servers = servers(&[("x", "a")]);
         servers.begin("x");
         servers.end(1_000, "x", Sign::Good(10), 250);
-        servers.take(2_000, vec![told("x", "a", 1, State::Gone)]);
+        servers.take(2_000, vec![told("x", "a", 1, InstanceState::Gone)]);
         expect_that!(servers.ready("s"), eq(1));
-        servers.take(2_000, vec![told("x", "a", u64::MAX, State::Gone)]);
+        servers.take(2_000, vec![told("x", "a", u64::MAX, InstanceState::Gone)]);
         expect_that!(servers.ready("s"), eq(0));
         expect_true!(servers.all().is_empty());
     }
--- a/crates/proxy/src/sessions.rs
+++ b/crates/proxy/src/sessions.rs
@@ -2,8 +2,8 @@
 
 use crate::front::Front;
 use granitelead_base::Backoff;
-use granitelead_control_protocol::line::{self, Sender};
-use granitelead_control_protocol::words::{Down, Up, Word};
+use granitelead_control_protocol::connection::{self, Sender};
+use granitelead_control_protocol::messages::{ToGatekeeper, ToMarker, Message};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -66,7 +66,7 @@
     pub async fn leave(&self) {
         let lines: Vec<Sender> = self.open.borrow().values().cloned().collect();
         for line in &lines {
-            line.send(&Word::Up(Up::Leave));
+            line.send(&Message::ToMarker(ToMarker::Leave));
         }
         let begun = Instant::now();
         while lines.iter().any(|line| line.unsent() > 0) && begun.elapsed() < LEAVE_MAX {
@@ -74,11 +74,11 @@
         }
     }
 
-    fn say(&self, words: impl IntoIterator<Item = (Ipv4Addr, Up)>) {
+    fn say(&self, words: impl IntoIterator<Item = (Ipv4Addr, ToMarker)>) {
         let open = self.open.borrow();
         for (ip, word) in words {
             if let Some(line) = open.get(&ip) {
-                line.send(&Word::Up(word));
+                line.send(&Message::ToMarker(word));
             }
         }
     }
@@ -100,7 +100,7 @@
 
     /// Opens a session and holds it until it ends.
     async fn hold(self: Rc<Self>, ip: Ipv4Addr) {
-        let dialled = line::dial(SocketAddr::from((ip, self.port))).await;
+        let dialled = connection::connect(SocketAddr::from((ip, self.port))).await;
         let stream = match dialled {
             Ok(stream) => stream,
             Err(ended) => {
@@ -121,9 +121,9 @@
         };
         self.open.borrow_mut().insert(ip, sender.clone());
         self.connecting.borrow_mut().remove(&ip);
-        sender.send(&Word::Up(hello));
+        sender.send(&Message::ToMarker(hello));
         let sessions = self.clone();
-        let carried = line::carry(stream, sender.clone(), SILENCE, move |word| sessions.take(ip, word));
+        let carried = connection::run(stream, sender.clone(), SILENCE, move |word| sessions.take(ip, word));
         let pings = async {
             let mut said = Instant::now();
             loop {
@@ -131,13 +131,13 @@
                 let home = self.front.gate.borrow().control.home() == Some(ip);
                 if home || said.elapsed() >= PING_OTHER {
                     said = Instant::now();
-                    sender.send(&Word::Up(Up::Ping));
+                    sender.send(&Message::ToMarker(ToMarker::Ping));
                 }
             }
         };
         let ended = tokio::select! {
             ended = carried => ended,
-            () = pings => line::Ended::Closed,
+            () = pings => connection::Disconnect::Closed,
         };
         log::info!("session with {ip}: {ended}");
         self.open.borrow_mut().remove(&ip);
@@ -145,10 +145,10 @@
         self.say(say);
     }
 
-    fn take(&self, ip: Ipv4Addr, word: Word) {
-        let Word::Down(word) = word else { return };
+    fn take(&self, ip: Ipv4Addr, word: Message) {
+        let Message::ToGatekeeper(word) = word else { return };
         let now = self.front.now();
-        let news = word != Down::Pong;
+        let news = word != ToGatekeeper::Pong;
         let say = self.front.gate.borrow_mut().on_down(now, ip, word);
         if news {
             self.front.room.notify_waiters();
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -10,7 +10,7 @@
 use crate::budget::GATEKEEPERS_UNTOLD;
 use crate::Millis;
 use granitelead_common::configuration::Tenant;
-use granitelead_common::recent_use::{Known, RecentUse};
+use granitelead_common::recent_use::{WindowUsage, RecentUse};
 use granitelead_decisions::{Customer, CustomerId, Plan};
 use std::collections::HashMap;
 
@@ -216,8 +216,8 @@
     }
 
     /// The marker that counts from now on tells what all let in of late.
-    pub fn begin_from(&mut self, now: Millis, recent: &Known) {
-        self.recent.replace(now, recent);
+    pub fn begin_from(&mut self, now: Millis, recent: &WindowUsage) {
+        self.recent.restore(now, recent);
     }
 
     /// Whether what the others let in is known.
@@ -227,7 +227,7 @@
         }
         if now > self.swept + IDLE / 16 {
             self.swept = now;
-            self.recent.forget_idle(now);
+            self.recent.remove_idle(now);
             self.table.retain(|_, entry| entry.customer.open > 0.0 || now < entry.seen + IDLE);
         }
     }
@@ -242,7 +242,7 @@
             self.alone_since = now;
         }
         let (n, part) = (self.sharing(), self.part());
-        let is_known = in_touch && self.recent.is_whole(now);
+        let is_known = in_touch && self.recent.is_complete(now);
         let names: Vec<String> = self.table.keys().cloned().collect();
         for name in names {
             let level = self.beginning(now, &name);
@@ -272,7 +272,7 @@
             return level;
         }
         let rate = plan.rate / self.part() / 1e3;
-        level.min(self.recent.left(now, tenant, spare * plan.burst, STORE * plan.burst, rate))
+        level.min(self.recent.remaining(now, tenant, spare * plan.burst, STORE * plan.burst, rate))
     }
 
     fn level_of(&self, now: Millis, tenant: &str, plan: &Plan, spare: f64) -> f64 {
--- a/crates/proxy/tests/caller.rs
+++ b/crates/proxy/tests/caller.rs
@@ -7,7 +7,7 @@
 mod support;
 
 use googletest::prelude::*;
-use granitelead_common::configuration::Repeats;
+use granitelead_common::configuration::RetrySafety;
 use granitelead_proxy::pool::ConnectionPool;
 use granitelead_proxy::request_state::Outcome;
 use proptest::collection::vec;
@@ -722,7 +722,7 @@
             let send = |id: &'static str| {
                 let request = hyper::Request::post("/once/").header("x-granitelead-attempt-id", id);
                 let request = request.body(http_body_util::Full::default()).unwrap();
-                pool.send(at, request, id.as_bytes(), Repeats::Once, Duration::from_secs(3))
+                pool.send(at, request, id.as_bytes(), RetrySafety::AtMostOnce, Duration::from_secs(3))
             };
             let serve = |mut stream: TcpStream, id: &'static str| async move {
                 let mut bytes = vec![0; 8 << 10];
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -25,7 +25,7 @@
 
 use granitelead_common::configuration::Tenant;
 use granitelead_common::settings::Bounds;
-use granitelead_control_protocol::words::{Between, Down, Instance, News, Node, State, Up, Word};
+use granitelead_control_protocol::messages::{PeerMessage, ToGatekeeper, Instance, Update, Node, InstanceState, ToMarker, Message};
 use granitelead_proxy::control::Control;
 use granitelead_proxy::gate::Gate;
 use marker::core::{begin, Core};
@@ -65,14 +65,14 @@
     /// What markers told of their contact, by this process.
     pub told: BTreeMap<Ipv4Addr, bool>,
     /// The state of each server as each session told it last.
-    listed: BTreeMap<Ipv4Addr, BTreeMap<String, State>>,
+    listed: BTreeMap<Ipv4Addr, BTreeMap<String, InstanceState>>,
 }
 
 enum Event {
-    Between(usize, usize, u64, Node, Between),
+    PeerMessage(usize, usize, u64, Node, PeerMessage),
     Written(usize, u32, u64, Keeping),
-    Up(usize, usize, u32, u64, Up),
-    Down(usize, usize, u32, u64, Down),
+    ToMarker(usize, usize, u32, u64, ToMarker),
+    ToGatekeeper(usize, usize, u32, u64, ToGatekeeper),
 }
 
 /// A connection from one marker to another.
@@ -369,7 +369,7 @@
                 }
             }
             (Some(g), ["end"]) => {
-                let words = self.columns[g].sessions.keys().map(|ip| (*ip, Up::Leave)).collect();
+                let words = self.columns[g].sessions.keys().map(|ip| (*ip, ToMarker::Leave)).collect();
                 self.say(g, words);
             }
             (Some(_), ["cut"]) => (0..boards).for_each(|m| self.cuts.extend([(n, m), (m, n)])),
@@ -406,15 +406,15 @@
         self.say(g, say.into_iter().flatten().collect());
     }
 
-    fn say(&mut self, g: usize, words: Vec<(Ipv4Addr, Up)>) {
+    fn say(&mut self, g: usize, words: Vec<(Ipv4Addr, ToMarker)>) {
         for (ip, word) in words {
             let Some(m) = self.board(ip) else { continue };
             let Some((id, _)) = self.columns[g].sessions.get(&ip).copied() else { continue };
             if self.weighs {
-                self.bytes.1 += granitelead_control_protocol::frames::write(&Word::Up(word.clone())).len();
+                self.bytes.1 += granitelead_control_protocol::frames::encode(&Message::ToMarker(word.clone())).len();
             }
             let start = self.boards[m].start;
-            self.at(1, Event::Up(g, m, start, id, word));
+            self.at(1, Event::ToMarker(g, m, start, id, word));
         }
     }
 
@@ -428,24 +428,24 @@
                 Output::Send(to, word) => {
                     if self.weighs {
                         self.between +=
-                            granitelead_control_protocol::frames::write(&Word::Between(me, word.clone()))
+                            granitelead_control_protocol::frames::encode(&Message::Peer(me, word.clone()))
                                 .len();
                     }
                     let Some(to) = self.board(to) else { continue };
                     let line = self.lines.entry((n, to)).or_default();
                     if line.up {
                         let life = line.life;
-                        self.at(1, Event::Between(n, to, life, me, word));
+                        self.at(1, Event::PeerMessage(n, to, life, me, word));
                     }
                 }
                 Output::Tell(id, word) => {
                     if self.weighs {
                         self.bytes.0 +=
-                            granitelead_control_protocol::frames::write(&Word::Down(word.clone())).len();
+                            granitelead_control_protocol::frames::encode(&Message::ToGatekeeper(word.clone())).len();
                     }
                     if let Some((g, _)) = self.boards[n].sessions.get(&id).copied() {
                         let start = self.columns[g].start;
-                        self.at(1, Event::Down(n, g, start, id, word));
+                        self.at(1, Event::ToGatekeeper(n, g, start, id, word));
                     }
                 }
                 Output::Write(ticket, keeping) => self.at(5, Event::Written(n, start, ticket, keeping)),
@@ -469,16 +469,16 @@
 
     fn handle(&mut self, event: Event) {
         let (from, to) = match &event {
-            Event::Between(from, to, ..) => (*from, *to),
+            Event::PeerMessage(from, to, ..) => (*from, *to),
             Event::Written(n, ..) => (*n, *n),
-            Event::Up(g, m, ..) => (self.gate(*g), *m),
-            Event::Down(m, g, ..) => (*m, self.gate(*g)),
+            Event::ToMarker(g, m, ..) => (self.gate(*g), *m),
+            Event::ToGatekeeper(m, g, ..) => (*m, self.gate(*g)),
         };
         if self.is_cut(from, to) {
             return self.stuck.push((from, to, event));
         }
         match event {
-            Event::Between(from, to, life, node, word) => {
+            Event::PeerMessage(from, to, life, node, word) => {
                 let line = self.lines.entry((from, to)).or_default();
                 if line.up && line.life == life {
                     self.step(to, |marker, now, out| marker.on_word(now, node, word, out));
@@ -488,8 +488,8 @@
                 self.boards[n].disk = Some(keeping);
                 self.step(n, |marker, now, out| marker.on_written(now, ticket, out));
             }
-            Event::Up(g, m, start, id, word) if self.boards[m].start == start => {
-                let (now, opens) = (self.now, matches!(word, Up::Hello { .. }));
+            Event::ToMarker(g, m, start, id, word) if self.boards[m].start == start => {
+                let (now, opens) = (self.now, matches!(word, ToMarker::Hello { .. }));
                 if opens {
                     self.boards[m].sessions.insert(id, (g, now));
                 }
@@ -498,24 +498,24 @@
                     self.step(m, |marker, now, out| marker.on_up(now, id, word, out));
                 }
             }
-            Event::Down(m, g, start, id, word) if self.columns[g].start == start => {
+            Event::ToGatekeeper(m, g, start, id, word) if self.columns[g].start == start => {
                 let (now, ip) = (self.now, self.boards[m].ip);
                 let column = &mut self.columns[g];
                 let Some(session) = column.sessions.get_mut(&ip).filter(|s| s.0 == id) else { return };
                 session.1 = now;
                 match &word {
-                    Down::News(1, _) => drop(column.listed.remove(&ip)),
-                    Down::News(_, News::Contact(contact)) => {
+                    ToGatekeeper::Update(1, _) => drop(column.listed.remove(&ip)),
+                    ToGatekeeper::Update(_, Update::Contact(contact)) => {
                         column.told.insert(ip, *contact);
                         if *contact {
                             let ready = column.listed.get(&ip).into_iter().flatten();
-                            let ready = ready.filter(|(_, state)| **state == State::Ready);
+                            let ready = ready.filter(|(_, state)| **state == InstanceState::Ready);
                             self.turned.push((m, g, ready.map(|(id, _)| id.clone()).collect()));
                         }
                     }
                     _ => {}
                 }
-                if let Down::News(_, News::Servers(servers)) = &word {
+                if let ToGatekeeper::Update(_, Update::Servers(servers)) = &word {
                     let listed = column.listed.entry(ip).or_default();
                     listed.extend(servers.iter().map(|server| (server.id.clone(), server.state)));
                 }
@@ -556,7 +556,7 @@
         if now >= self.columns[g].pinged + 150 {
             self.columns[g].pinged = now;
             let all: Vec<Ipv4Addr> = self.columns[g].sessions.keys().copied().collect();
-            self.say(g, all.into_iter().map(|ip| (ip, Up::Ping)).collect());
+            self.say(g, all.into_iter().map(|ip| (ip, ToMarker::Ping)).collect());
         }
     }
 
--- a/crates/proxy/tests/contact.rs
+++ b/crates/proxy/tests/contact.rs
@@ -5,7 +5,7 @@
 
 use common::{beat, configuration, play, status, World};
 use googletest::prelude::*;
-use granitelead_control_protocol::words::State;
+use granitelead_control_protocol::messages::InstanceState;
 use marker::parts::Reply;
 use marker::state::Call;
 
@@ -654,9 +654,9 @@
             }
             // In touch for as long as the rules have it: it knows each drain that was acknowledged.
             for (id, at) in &self.drains {
-                let state = gate.servers.get(id).map_or(State::Gone, |s| s.told.state);
+                let state = gate.servers.get(id).map_or(InstanceState::Gone, |s| s.told.state);
                 assert!(
-                    state != State::Ready,
+                    state != InstanceState::Ready,
                     "g{} does not know the drain of {id}, of {at}, at {now}",
                     g + 1
                 );
@@ -667,7 +667,7 @@
                     && server.first.is_some_and(|at| now > at + 3_500);
                 let known = gate.servers.get(&server.id).map(|s| s.told.state);
                 assert!(
-                    !steady || known == Some(State::Ready),
+                    !steady || known == Some(InstanceState::Ready),
                     "g{} misses {} at {now}: {known:?}",
                     g + 1,
                     server.id
--- a/crates/proxy/tests/history.rs
+++ b/crates/proxy/tests/history.rs
@@ -4,7 +4,7 @@
 
 use common::World;
 use googletest::prelude::*;
-use granitelead_control_protocol::words::{Difference, Document, Up};
+use granitelead_control_protocol::messages::{Difference, Document, ToMarker};
 use granitelead_proxy::control::Change;
 use marker::state::Call;
 
@@ -169,7 +169,7 @@
     let (old, older) = (Document { version: 2, bytes: other }, Document { version: 1, bytes: routes(1) });
     let back = Difference::between(&old, &older).unwrap();
     let gate = world.columns[1].gate.as_mut().unwrap();
-    let has = Up::Has(gate.revision().unwrap());
+    let has = ToMarker::InForce(gate.revision().unwrap());
     expect_that!(gate.take(now, ip, Change::Configuration(old)), eq(&vec![(ip, has.clone())]));
     expect_that!(gate.take(now, ip, Change::Difference(back)), eq(&vec![(ip, has)]));
     world.all_have(3);
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -5,7 +5,7 @@
 
 use common::{World, RATE};
 use granitelead_common::configuration::Tenant;
-use granitelead_common::recent_use::Known;
+use granitelead_common::recent_use::WindowUsage;
 use granitelead_proxy::tenants::Tenants;
 use std::net::Ipv4Addr;
 
@@ -253,7 +253,7 @@
 fn alone() -> Tenants {
     let mut tenants = Tenants::new(5, 5_000);
     tenants.share(0, 1, 0);
-    tenants.begin_from(0, &Known { span: 5_000, granted: vec![250_000; 20], used: Vec::new() });
+    tenants.begin_from(0, &WindowUsage { span: 5_000, granted: vec![250_000; 20], used: Vec::new() });
     tenants.touch(0, true);
     tenants
 }
@@ -285,7 +285,7 @@
 
 #[test]
 fn a_process_that_starts_again_begins_from_what_was_used_of_late() {
-    let known = |used: u32| Known {
+    let known = |used: u32| WindowUsage {
         span: 5_000,
         granted: vec![250_000; 20],
         used: vec![("t".into(), vec![used; 20])],
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -5,7 +5,7 @@
 pub mod server;
 
 use granitelead_common::settings::Bounds;
-use granitelead_control_protocol::words::{Document, Instance, State};
+use granitelead_control_protocol::messages::{Document, Instance, InstanceState};
 use granitelead_proxy::connections::ClientConnections;
 use granitelead_proxy::control::{Change, Control};
 use granitelead_proxy::front::Front;
@@ -120,7 +120,7 @@
         zone: "a".into(),
         version: String::new(),
         slots: 50,
-        state: State::Ready,
+        state: InstanceState::Ready,
         sequence: 1,
         cold_ms: 0,
     }
