--- a/crates/common/src/error_kinds.rs
+++ b/crates/common/src/error_kinds.rs
@@ -58,9 +58,21 @@
 
 /// The responses to all kinds, in the order of [`ErrorKind`].
 pub const ERROR_RESPONSES: [ErrorResponse; 17] = [
-    response(ErrorKind::Settings, "settings", 500, false, "mend the settings file; the process ended with status 2"),
+    response(
+        ErrorKind::Settings,
+        "settings",
+        500,
+        false,
+        "mend the settings file; the process ended with status 2",
+    ),
     response(ErrorKind::Usage, "usage", 500, false, "see --help"),
-    response(ErrorKind::Configuration, "configuration", 400, false, "mend what is named by its path and send it again"),
+    response(
+        ErrorKind::Configuration,
+        "configuration",
+        400,
+        false,
+        "mend what is named by its path and send it again",
+    ),
     response(
         ErrorKind::Conflict,
         "conflict",
--- a/crates/common/src/logs.rs
+++ b/crates/common/src/logs.rs
@@ -28,7 +28,8 @@
 }
 
 fn push(ring: &mut RingBuffer, record: &Record) {
-    let mut line = format!("{:.3} {} {}", ring.started.elapsed().as_secs_f64(), record.level(), record.args());
+    let mut line =
+        format!("{:.3} {} {}", ring.started.elapsed().as_secs_f64(), record.level(), record.args());
     if line.len() > LINE_MAX {
         let end = (0..=LINE_MAX).rev().find(|at| line.is_char_boundary(*at)).unwrap_or(0);
         line.truncate(end);
--- a/crates/common/src/recent_use.rs
+++ b/crates/common/src/recent_use.rs
@@ -179,7 +179,8 @@
         (self.span, self.span_at) = (usage.span.min(self.window()), now);
         (self.granted, self.granted_at) = (Counts::from_oldest_first(slot, &usage.granted), now);
         let used = usage.used.iter().take(TENANTS_MAX);
-        self.table = used.map(|(tenant, slots)| (tenant.clone(), Counts::from_oldest_first(slot, slots))).collect();
+        self.table =
+            used.map(|(tenant, slots)| (tenant.clone(), Counts::from_oldest_first(slot, slots))).collect();
     }
 
     /// Removes tenants that used nothing in the last window.
--- a/crates/common/src/settings.rs
+++ b/crates/common/src/settings.rs
@@ -76,11 +76,13 @@
 /// All errors in the file, with their fields.
 pub fn load() -> Result<Settings, ValidationErrors> {
     let path = std::env::var(SETTINGS_FILE.0).unwrap_or_else(|_| SETTINGS_FILE.1.to_owned());
-    let size = std::fs::metadata(&path).map_err(|e| ValidationErrors::root(format_args!("{path}: {e}")))?.len();
+    let size =
+        std::fs::metadata(&path).map_err(|e| ValidationErrors::root(format_args!("{path}: {e}")))?.len();
     if size > FILE_MAX {
         return Err(ValidationErrors::root(format_args!("{path}: {size} bytes are more than {FILE_MAX}")));
     }
-    let text = std::fs::read_to_string(&path).map_err(|e| ValidationErrors::root(format_args!("{path}: {e}")))?;
+    let text =
+        std::fs::read_to_string(&path).map_err(|e| ValidationErrors::root(format_args!("{path}: {e}")))?;
     parse(&text)
 }
 
@@ -90,7 +92,8 @@
 ///
 /// All errors in the text, with their fields.
 pub fn parse(text: &str) -> Result<Settings, ValidationErrors> {
-    let value: Value = toml::from_str(text).map_err(|e| ValidationErrors::root(e.to_string().replace('\n', " ")))?;
+    let value: Value =
+        toml::from_str(text).map_err(|e| ValidationErrors::root(e.to_string().replace('\n', " ")))?;
     let at = Cursor::root(&value);
     let address = |at: Cursor| {
         at.optional(None, |at| {
@@ -109,7 +112,8 @@
     let internal_port = match ports[..] {
         [first, last] if first > 0 && first <= last && last <= 65_535 => first as u16,
         _ => {
-            at.field("internal-port-range").add_error("two ports, the first not above the last, are expected");
+            at.field("internal-port-range")
+                .add_error("two ports, the first not above the last, are expected");
             0
         }
     };
@@ -130,7 +134,8 @@
         control: address(listen.field("control-plane")),
         descriptors: limits.field("file-descriptors").optional(1_024, Cursor::integer),
         memory_mb: limits.field("memory-mb").optional(256, Cursor::integer),
-        machine_losses: at.field("fault-tolerance").field("machine-losses").optional(0, Cursor::integer) as usize,
+        machine_losses: at.field("fault-tolerance").field("machine-losses").optional(0, Cursor::integer)
+            as usize,
         bounds,
     };
     at.finish(settings)
--- a/crates/common/src/validation.rs
+++ b/crates/common/src/validation.rs
@@ -38,7 +38,10 @@
 impl ValidationErrors {
     /// A single error at the root.
     pub fn root(message: impl fmt::Display) -> ValidationErrors {
-        ValidationErrors { found: vec![ValidationError { path: String::new(), message: message.to_string() }], more: 0 }
+        ValidationErrors {
+            found: vec![ValidationError { path: String::new(), message: message.to_string() }],
+            more: 0,
+        }
     }
 
     /// Whether there are no errors.
@@ -224,8 +227,7 @@
         let value =
             json!({"a": {"b": [{"n": -1}, {"n": 3}, {"n": "x"}]}, "t": 7, "e": "", "f": 1, "z": null});
         let at = Cursor::root(&value);
-        let read: Vec<u64> =
-            at.field("a").field("b").list().iter().map(|b| b.field("n").integer()).collect();
+        let read: Vec<u64> = at.field("a").field("b").list().iter().map(|b| b.field("n").integer()).collect();
         expect_that!(read, elements_are![eq(&0), eq(&3), eq(&0)]);
         at.field("t").text();
         at.field("e").name();
--- a/crates/control-protocol/tests/connection.rs
+++ b/crates/control-protocol/tests/connection.rs
@@ -17,8 +17,10 @@
         let _peer = listener.accept().await.unwrap();
         let sender = Sender::default();
         let bytes = vec![7; 12 << 20];
-        let message =
-            Message::ToGatekeeper(ToGatekeeper::Update(1, Update::Configuration(Document { version: 1, bytes })));
+        let message = Message::ToGatekeeper(ToGatekeeper::Update(
+            1,
+            Update::Configuration(Document { version: 1, bytes }),
+        ));
         let size = sender.send(&message);
         expect_that!(sender.unsent(), eq(size));
         let running = connection::run(stream, sender.clone(), Duration::from_secs(60), |_| {});
--- a/crates/control-protocol/tests/difference.rs
+++ b/crates/control-protocol/tests/difference.rs
@@ -125,7 +125,8 @@
 #[gtest]
 fn there_is_no_difference_for_unrelated_or_too_large_configurations() {
     let mut rng = fastrand::Rng::with_seed(1);
-    let mut random = |n: usize| document(1, std::iter::repeat_with(|| rng.u8(..)).take(n).collect::<Vec<_>>());
+    let mut random =
+        |n: usize| document(1, std::iter::repeat_with(|| rng.u8(..)).take(n).collect::<Vec<_>>());
     expect_that!(Difference::between(&random(9_000), &random(9_000)), none());
     let large = random(SIZE_MAX + 1);
     expect_that!(Difference::between(&large, &large), none());
--- a/crates/control-protocol/tests/ledger.rs
+++ b/crates/control-protocol/tests/ledger.rs
@@ -28,7 +28,10 @@
     expect_that!(expected.entries().len(), eq(VERSIONS_MAX));
     expect_that!(expected.forgotten(), some(eq(29)));
     // No version below the lowest remembered one is free: it may have been confirmed with another content.
-    expect_that!((expected.lookup(0), expected.lookup(29)), eq((VersionState::Forgotten, VersionState::Forgotten)));
+    expect_that!(
+        (expected.lookup(0), expected.lookup(29)),
+        eq((VersionState::Forgotten, VersionState::Forgotten))
+    );
     expect_that!(expected.lookup(30), eq(VersionState::Content(Digest::from(u128::MAX - 30))));
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..20 {
--- a/crates/lab/src/hollow/gatekeepers.rs
+++ b/crates/lab/src/hollow/gatekeepers.rs
@@ -5,7 +5,7 @@
 use super::seen::Seen;
 use granitelead_base::Backoff;
 use granitelead_control_protocol::connection::{self, Sender};
-use granitelead_control_protocol::messages::{Document, ToGatekeeper, Update, Revision, ToMarker, Message};
+use granitelead_control_protocol::messages::{Document, Message, Revision, ToGatekeeper, ToMarker, Update};
 use granitelead_proxy::control::{Change, Control};
 use granitelead_proxy::servers::Servers;
 use granitelead_proxy::sessions::{BATCH, PING, PING_OTHER, SILENCE};
@@ -140,7 +140,9 @@
         let (gatekeeper, stands) = (self.clone(), Rc::new(Cell::new(false)));
         let told = stands.clone();
         let carried = connection::run(stream, sender.clone(), SILENCE, move |word| {
-            if matches!(word, Message::ToGatekeeper(ToGatekeeper::Update(_, Update::Synchronized(_)))) && !told.replace(true) {
+            if matches!(word, Message::ToGatekeeper(ToGatekeeper::Update(_, Update::Synchronized(_))))
+                && !told.replace(true)
+            {
                 gatekeeper.shared.seen.session(true);
             }
             gatekeeper.take(ip, word);
--- a/crates/marker/src/agreement.rs
+++ b/crates/marker/src/agreement.rs
@@ -20,7 +20,7 @@
 use crate::parts::Keeping;
 use granitelead_control_protocol::ledger::VersionState;
 use granitelead_control_protocol::messages::{
-    PeerMessage, Change, Digest, Document, Epoch, Ledger, Node, ProposalNumber, Snapshot,
+    Change, Digest, Document, Epoch, Ledger, Node, PeerMessage, ProposalNumber, Snapshot,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -410,7 +410,8 @@
     pub fn begin(&mut self, acts: &mut Vec<Act>) -> Option<ProposalNumber> {
         let epoch = self.epoch.as_ref()?;
         let asked = epoch.core.iter().chain(&epoch.previous_core).copied().collect();
-        let number = ProposalNumber { round: self.highest.max(self.promised.round) + 1, proposer: self.me.replica_id };
+        let number =
+            ProposalNumber { round: self.highest.max(self.promised.round) + 1, proposer: self.me.replica_id };
         self.learn_round(number.round);
         self.depose(acts);
         self.promised = number;
@@ -439,8 +440,13 @@
         promises.insert(from, epoch);
         let newest = promises.values().flatten().max_by_key(|e| e.number);
         let Some(newest) = newest.cloned() else { return };
-        let more: Vec<Node> =
-            newest.core.iter().chain(&newest.previous_core).copied().filter(|n| !round.asked.contains(n)).collect();
+        let more: Vec<Node> = newest
+            .core
+            .iter()
+            .chain(&newest.previous_core)
+            .copied()
+            .filter(|n| !round.asked.contains(n))
+            .collect();
         let promised = |node: &Node| promises.contains_key(node);
         let enough = most(&newest.core, promised) && most(&newest.previous_core, promised);
         let willing: BTreeSet<Node> = promises.keys().copied().collect();
--- a/crates/marker/src/core.rs
+++ b/crates/marker/src/core.rs
@@ -12,7 +12,7 @@
 use crate::duties::Duties;
 use crate::parts::{Keeping, Millis, Output};
 use granitelead_control_protocol::messages::{
-    PeerMessage, Digest, Document, Duty, Epoch, Ledger, Node, ProposalNumber, MarkerStatus,
+    Digest, Document, Duty, Epoch, Ledger, MarkerStatus, Node, PeerMessage, ProposalNumber,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -219,8 +219,13 @@
     let mut core: Vec<Node> = seeds.iter().copied().map(founder).collect();
     core.sort();
     core.dedup();
-    let founding =
-        Epoch { number: ProposalNumber::default(), previous_core: core.clone(), backups: core.clone(), core, primary: None };
+    let founding = Epoch {
+        number: ProposalNumber::default(),
+        previous_core: core.clone(),
+        backups: core.clone(),
+        core,
+        primary: None,
+    };
     let (node, epoch) = (founder(ip), Some(founding));
     Keeping { epoch, ..empty(node) }
 }
@@ -395,7 +400,15 @@
     pub fn on_word(&mut self, now: Millis, from: Node, word: PeerMessage, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match word {
-            PeerMessage::Heartbeat { epoch, is_primary: leads, has_primary: led, committed: sure, reachable: others, duties, status: standing } => {
+            PeerMessage::Heartbeat {
+                epoch,
+                is_primary: leads,
+                has_primary: led,
+                committed: sure,
+                reachable: others,
+                duties,
+                status: standing,
+            } => {
                 self.duties.on_hear(self.now, from, &duties);
                 self.on_hear(from, epoch, leads, led, sure, &others, standing, out);
             }
--- a/crates/marker/src/core/hearing.rs
+++ b/crates/marker/src/core/hearing.rs
@@ -3,7 +3,7 @@
 use super::{Core, Heard, BROKE, HEAR, HEARD, HEAR_OUTSIDE, KNOWN_MAX};
 use crate::agreement::most;
 use crate::parts::{Millis, Output};
-use granitelead_control_protocol::messages::{PeerMessage, Document, Node, ProposalNumber, MarkerStatus};
+use granitelead_control_protocol::messages::{Document, MarkerStatus, Node, PeerMessage, ProposalNumber};
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
@@ -44,7 +44,18 @@
         let mine = core.contains(&self.me());
         for ip in self.known().into_iter().filter(|ip| all || mine && inside(*ip)) {
             let (others, duties, standing) = (others.clone(), self.duties.mine(), standing.clone());
-            out.push(Output::Send(ip, PeerMessage::Heartbeat { epoch, is_primary: leads, has_primary: led, committed: sure, reachable: others, duties, status: standing }));
+            out.push(Output::Send(
+                ip,
+                PeerMessage::Heartbeat {
+                    epoch,
+                    is_primary: leads,
+                    has_primary: led,
+                    committed: sure,
+                    reachable: others,
+                    duties,
+                    status: standing,
+                },
+            ));
         }
     }
 
--- a/crates/marker/src/core/orders.rs
+++ b/crates/marker/src/core/orders.rs
@@ -9,7 +9,7 @@
 use crate::parts::{Millis, Output, Reply};
 use granitelead_common::error_kinds::ErrorKind;
 use granitelead_control_protocol::ledger::VersionState;
-use granitelead_control_protocol::messages::{PeerMessage, Digest, Document};
+use granitelead_control_protocol::messages::{Digest, Document, PeerMessage};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/marker/src/core/rounds.rs
+++ b/crates/marker/src/core/rounds.rs
@@ -3,7 +3,7 @@
 use super::{Core, Heard, ALONE, DISK, FINISH, HEAR, LEFT, LOST, SLOW, SLOW_FOR, STANDS_IN, SUSPECT};
 use crate::agreement::{most, Agreement};
 use crate::parts::{Millis, Output};
-use granitelead_control_protocol::messages::{PeerMessage, Epoch, Node, ProposalNumber, MarkerStatus};
+use granitelead_control_protocol::messages::{Epoch, MarkerStatus, Node, PeerMessage, ProposalNumber};
 use std::collections::BTreeSet;
 
 impl Core {
--- a/crates/marker/src/duties.rs
+++ b/crates/marker/src/duties.rs
@@ -179,7 +179,8 @@
                 continue;
             }
             let promised = self.promised.entry(*duty).or_default();
-            let number = ProposalNumber { round: state.highest.max(promised.round) + 1, proposer: self.me.replica_id };
+            let number =
+                ProposalNumber { round: state.highest.max(promised.round) + 1, proposer: self.me.replica_id };
             (*promised, state.highest) = (number, number.round);
             state.ballot = Some(Ballot { number, begun: now, votes: BTreeSet::new() });
             begun.push((*duty, number));
@@ -230,7 +231,8 @@
         // Nobody asks again while the holder is heard, and the next number is higher.
         expect_true!(a.on_tick(2_200, true).is_empty());
         expect_false!(
-            c.on_ballot(1_600, core[0], D, ProposalNumber { round: 9, proposer: 1 }) && c.holders(1_600).is_empty()
+            c.on_ballot(1_600, core[0], D, ProposalNumber { round: 9, proposer: 1 })
+                && c.holders(1_600).is_empty()
         );
         expect_that!(a.on_tick(4_000, true)[0].1, gt(second));
     }
--- a/crates/marker/src/parts.rs
+++ b/crates/marker/src/parts.rs
@@ -2,7 +2,7 @@
 
 use granitelead_common::error_kinds::ErrorKind;
 use granitelead_control_protocol::messages::{
-    PeerMessage, Document, ToGatekeeper, Duty, Epoch, Instance, Ledger, Node, ProposalNumber,
+    Document, Duty, Epoch, Instance, Ledger, Node, PeerMessage, ProposalNumber, ToGatekeeper,
 };
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
--- a/crates/marker/src/pushes.rs
+++ b/crates/marker/src/pushes.rs
@@ -3,7 +3,7 @@
 //! The configurations before the newest are kept as far as [`KEPT`] and [`BYTES`] go, so that whoever is near is told a
 //! change and whoever is far the whole: what it costs to catch up does not grow with how many were missed.
 
-use granitelead_control_protocol::messages::{Difference, Document, Update, Revision};
+use granitelead_control_protocol::messages::{Difference, Document, Revision, Update};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -63,6 +63,11 @@
             let Former { document, difference, .. } = former;
             difference.get_or_insert_with(|| Difference::between(document, newest)).clone()
         });
-        Some(change.map_or_else(|| Update::Configuration(Document::clone(newest)), Update::ConfigurationDifference))
+        Some(
+            change.map_or_else(
+                || Update::Configuration(Document::clone(newest)),
+                Update::ConfigurationDifference,
+            ),
+        )
     }
 }
--- a/crates/marker/src/registry.rs
+++ b/crates/marker/src/registry.rs
@@ -134,8 +134,9 @@
         let mut changed = Vec::new();
         // Whoever had the address has ended.
         if instance.state != InstanceState::Gone {
-            let same =
-                |e: &&mut Entry| e.instance.address == instance.address && e.instance.state != InstanceState::Gone;
+            let same = |e: &&mut Entry| {
+                e.instance.address == instance.address && e.instance.state != InstanceState::Gone
+            };
             for entry in self.entries.values_mut().filter(same) {
                 (entry.instance.state, entry.at) = (InstanceState::Gone, now);
                 changed.push(entry.instance.clone());
@@ -190,7 +191,12 @@
 
     /// All that are not gone, as others are to know them.
     pub fn all(&self) -> Vec<Instance> {
-        self.entries.values().map(|e| &e.instance).filter(|i| i.state != InstanceState::Gone).cloned().collect()
+        self.entries
+            .values()
+            .map(|e| &e.instance)
+            .filter(|i| i.state != InstanceState::Gone)
+            .cloned()
+            .collect()
     }
 
     /// Takes in a word that is told on by somebody who may have been away for long.
@@ -203,7 +209,8 @@
             let other = e.instance.id != word.id && e.instance.state != InstanceState::Gone;
             other && e.instance.address == word.address && e.at > 0 && now < e.at + fresh
         };
-        if word.state != InstanceState::Gone && (ended || known.is_none() && self.entries.values().any(taken)) {
+        if word.state != InstanceState::Gone && (ended || known.is_none() && self.entries.values().any(taken))
+        {
             let end = known.filter(|_| ended).cloned();
             return Learnt::Ended(end.unwrap_or(Instance { state: InstanceState::Gone, ..word }));
         }
--- a/crates/marker/src/run.rs
+++ b/crates/marker/src/run.rs
@@ -249,8 +249,9 @@
             exchange.calls.borrow_mut().insert(id, send);
             exchange.step(|marker, now, out| marker.on_call(now, id, call, out));
             let reply = answer.await;
-            let reply = reply
-                .unwrap_or_else(|_| Reply::fault(granitelead_common::error_kinds::ErrorKind::Internal, "no answer"));
+            let reply = reply.unwrap_or_else(|_| {
+                Reply::fault(granitelead_common::error_kinds::ErrorKind::Internal, "no answer")
+            });
             if asks {
                 with_counts(reply, &exchange.said)
             } else {
--- a/crates/marker/src/sessions.rs
+++ b/crates/marker/src/sessions.rs
@@ -2,7 +2,7 @@
 
 use crate::parts::{Millis, Output, SessionId};
 use crate::pushes::Pushes;
-use granitelead_control_protocol::messages::{Document, ToGatekeeper, Instance, Update, Revision};
+use granitelead_control_protocol::messages::{Document, Instance, Revision, ToGatekeeper, Update};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
--- a/crates/marker/src/state.rs
+++ b/crates/marker/src/state.rs
@@ -9,7 +9,9 @@
 use crate::tally::Tally;
 use granitelead_common::configuration;
 use granitelead_common::error_kinds::ErrorKind;
-use granitelead_control_protocol::messages::{PeerMessage, Document, ToGatekeeper, Duty, Instance, Update, Node, InstanceState, ToMarker};
+use granitelead_control_protocol::messages::{
+    Document, Duty, Instance, InstanceState, Node, PeerMessage, ToGatekeeper, ToMarker, Update,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
@@ -265,7 +267,8 @@
         if changed.is_empty() {
             return;
         }
-        let ended: Vec<Instance> = changed.iter().filter(|i| i.state == InstanceState::Gone).cloned().collect();
+        let ended: Vec<Instance> =
+            changed.iter().filter(|i| i.state == InstanceState::Gone).cloned().collect();
         let ticket = if ticket == 0 && !ended.is_empty() { self.sessions.ticket() } else { ticket };
         for ip in self.core.known().into_iter().filter(|ip| Some(*ip) != except) {
             self.repair.owe(now, ip, &ended, ticket);
@@ -338,7 +341,11 @@
             PeerMessage::ConfirmExpired(number, ticket, servers) => {
                 if self.core.allows(Duty::Reaper, number) {
                     let heard = self.registry.heard_of(now, &servers);
-                    let word = if heard.is_empty() { PeerMessage::Delivered(ticket) } else { PeerMessage::Alive(heard) };
+                    let word = if heard.is_empty() {
+                        PeerMessage::Delivered(ticket)
+                    } else {
+                        PeerMessage::Alive(heard)
+                    };
                     out.push(Output::Send(from.ip, word));
                 } else {
                     log::info!("{} reaps under number {}, which is over", from.ip, number.round);
@@ -518,7 +525,9 @@
                 out.push(Output::Tell(id, ToGatekeeper::Recent(recent)));
             }
             let news = self.tally.news(now).into_iter();
-            out.extend(news.map(|(id, number, totals)| Output::Tell(id, ToGatekeeper::Totals(number, totals))));
+            out.extend(
+                news.map(|(id, number, totals)| Output::Tell(id, ToGatekeeper::Totals(number, totals))),
+            );
         }
         if now >= self.alive_at + ALIVE {
             self.alive_at = now;
--- a/crates/marker/src/tally.rs
+++ b/crates/marker/src/tally.rs
@@ -6,7 +6,7 @@
 //! not from a full store.
 
 use crate::parts::{Millis, SessionId};
-use granitelead_common::recent_use::{WindowUsage, RecentUse};
+use granitelead_common::recent_use::{RecentUse, WindowUsage};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Tenants that are counted at once.
--- a/crates/marker/tests/common/world.rs
+++ b/crates/marker/tests/common/world.rs
@@ -10,7 +10,7 @@
 #![allow(dead_code)] // Each file of tests uses a part.
 
 use granitelead_common::error_kinds::ErrorKind;
-use granitelead_control_protocol::messages::{PeerMessage, Document, Node, ProposalNumber};
+use granitelead_control_protocol::messages::{Document, Node, PeerMessage, ProposalNumber};
 use marker::core::{begin, Core};
 use marker::parts::{Keeping, Output, Reply};
 use std::cmp::Reverse;
--- a/crates/marker/tests/core.rs
+++ b/crates/marker/tests/core.rs
@@ -476,7 +476,15 @@
         let mut out = Vec::new();
         let (epoch, others) = (ProposalNumber::default(), vec![ip(2)]);
         let (duties, standing) = (Vec::new(), Default::default());
-        let hear = PeerMessage::Heartbeat { epoch, is_primary: false, has_primary: false, committed: None, reachable: others, duties, status: standing };
+        let hear = PeerMessage::Heartbeat {
+            epoch,
+            is_primary: false,
+            has_primary: false,
+            committed: None,
+            reachable: others,
+            duties,
+            status: standing,
+        };
         a.on_word(now, node(1), hear, &mut out);
         for word in std::mem::take(&mut inbox) {
             a.on_word(now, node(1), word, &mut out);
@@ -487,7 +495,9 @@
                 Output::Write(ticket, _) => a.on_written(now, ticket, &mut out),
                 Output::Send(to, word) if to == ip(1) => match word {
                     PeerMessage::Prepare(number) => inbox.push(PeerMessage::Promise(number, a.view().epoch)),
-                    PeerMessage::InstallSnapshot(number, _) => inbox.push(PeerMessage::SnapshotInstalled(number)),
+                    PeerMessage::InstallSnapshot(number, _) => {
+                        inbox.push(PeerMessage::SnapshotInstalled(number))
+                    }
                     PeerMessage::AcceptEpoch(epoch) => {
                         inbox.push(PeerMessage::EpochAccepted(epoch.number));
                         core = Some(epoch.core);
--- a/crates/marker/tests/history.rs
+++ b/crates/marker/tests/history.rs
@@ -8,7 +8,7 @@
 use common::world::{Event, World};
 use googletest::prelude::*;
 use granitelead_control_protocol::frames;
-use granitelead_control_protocol::messages::{PeerMessage, Document, Revision, Message};
+use granitelead_control_protocol::messages::{Document, Message, PeerMessage, Revision};
 use marker::core::begin;
 use marker::parts::Keeping;
 use marker::store::Store;
--- a/crates/marker/tests/model.rs
+++ b/crates/marker/tests/model.rs
@@ -10,7 +10,9 @@
 //! Each rule has a variant that breaks it, by tampering with what goes in or comes out, and is caught.
 
 use granitelead_control_protocol::ledger::VersionState;
-use granitelead_control_protocol::messages::{PeerMessage, Digest, Document, Epoch, Ledger, Node, ProposalNumber, Snapshot};
+use granitelead_control_protocol::messages::{
+    Digest, Document, Epoch, Ledger, Node, PeerMessage, ProposalNumber, Snapshot,
+};
 use marker::agreement::{Act, Agreement, Orders, Then};
 use marker::core::begin;
 use marker::parts::Keeping;
@@ -94,7 +96,15 @@
 
 /// [`Keeping`] as far as the agreement goes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Kept(Node, ProposalNumber, ProposalNumber, Option<Epoch>, Option<Arc<Document>>, Option<u32>, Arc<Ledger>);
+struct Kept(
+    Node,
+    ProposalNumber,
+    ProposalNumber,
+    Option<Epoch>,
+    Option<Arc<Document>>,
+    Option<u32>,
+    Arc<Ledger>,
+);
 
 impl From<Keeping> for Kept {
     fn from(k: Keeping) -> Kept {
@@ -169,7 +179,8 @@
                     let me = world.markers[n].me();
                     match (&word, self.broken) {
                         (PeerMessage::Replicate(number, change), Broken::AnswersEarly) => {
-                            let held = PeerMessage::Replicated(*number, *change.entries.keys().next_back().unwrap());
+                            let held =
+                                PeerMessage::Replicated(*number, *change.entries.keys().next_back().unwrap());
                             let backup = world.markers[n].leads().unwrap().1[0];
                             at(world, n).take(backup, held, &mut more);
                         }
@@ -357,11 +368,14 @@
 fn matters(marker: &Agreement, disk: &Kept, word: &PeerMessage) -> bool {
     let waits = |number| marker.asks() == Some(number) || marker.leads().is_some_and(|(n, _)| n == number);
     match word {
-        PeerMessage::Prepare(n) | PeerMessage::InstallSnapshot(n, _) | PeerMessage::Replicate(n, _) | PeerMessage::ConfirmEpoch(n, _) => {
-            *n >= disk.1
-        }
+        PeerMessage::Prepare(n)
+        | PeerMessage::InstallSnapshot(n, _)
+        | PeerMessage::Replicate(n, _)
+        | PeerMessage::ConfirmEpoch(n, _) => *n >= disk.1,
         PeerMessage::AcceptEpoch(epoch) => epoch.number >= disk.1,
-        PeerMessage::Promise(n, _) | PeerMessage::SnapshotInstalled(n) | PeerMessage::EpochAccepted(n) => marker.asks() == Some(*n),
+        PeerMessage::Promise(n, _) | PeerMessage::SnapshotInstalled(n) | PeerMessage::EpochAccepted(n) => {
+            marker.asks() == Some(*n)
+        }
         PeerMessage::Replicated(n, _) | PeerMessage::EpochConfirmed(n, _) => waits(*n),
         // It only makes its hearer give up what could not succeed.
         _ => false,
@@ -519,7 +533,9 @@
                 }
                 (Broken::CopiesNoLedger, PeerMessage::InstallSnapshot(number, Snapshot { document, .. })) => {
                     let whole = Snapshot { document: document.clone(), ledger: Ledger::default() };
-                    self.step(&mut next, n, |a, acts| a.take(from, PeerMessage::InstallSnapshot(*number, whole), acts));
+                    self.step(&mut next, n, |a, acts| {
+                        a.take(from, PeerMessage::InstallSnapshot(*number, whole), acts)
+                    });
                 }
                 (Broken::AnybodyLeads, PeerMessage::Promise(number, Some(epoch))) => {
                     let me = next.markers[n].me();
--- a/crates/marker/tests/orders.rs
+++ b/crates/marker/tests/orders.rs
@@ -5,7 +5,7 @@
 
 use common::world::{Asked, Call, Clear, Seen, World, FAULTS};
 use googletest::prelude::*;
-use granitelead_control_protocol::messages::{PeerMessage, Ledger};
+use granitelead_control_protocol::messages::{Ledger, PeerMessage};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/crates/marker/tests/pushes.rs
+++ b/crates/marker/tests/pushes.rs
@@ -1,7 +1,7 @@
 //! What waits on sessions for gatekeepers that take in slowly, and for those that there is no room for.
 
 use googletest::prelude::*;
-use granitelead_control_protocol::messages::{Document, ToGatekeeper, Update, Revision};
+use granitelead_control_protocol::messages::{Document, Revision, ToGatekeeper, Update};
 use marker::parts::Output;
 use marker::sessions::{Sessions, SESSIONS_MAX};
 use std::sync::Arc;
@@ -22,7 +22,9 @@
         Output::Tell(id, ToGatekeeper::Update(number, Update::Configuration(d))) if *id == to => {
             Some((*number, d.version))
         }
-        Output::Tell(id, ToGatekeeper::Update(number, Update::ConfigurationDifference(d))) if *id == to => Some((*number, d.to.version)),
+        Output::Tell(id, ToGatekeeper::Update(number, Update::ConfigurationDifference(d))) if *id == to => {
+            Some((*number, d.to.version))
+        }
         _ => None,
     };
     out.iter().filter_map(of).collect()
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -9,7 +9,9 @@
 
 use crate::Millis;
 use granitelead_common::recent_use::WindowUsage;
-use granitelead_control_protocol::messages::{Difference, Document, ToGatekeeper, Instance, Update, Revision, InstanceState, ToMarker};
+use granitelead_control_protocol::messages::{
+    Difference, Document, Instance, InstanceState, Revision, ToGatekeeper, ToMarker, Update,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
@@ -156,7 +158,13 @@
     }
 
     /// A session is up. Gives what to say first.
-    pub fn open(&mut self, now: Millis, ip: Ipv4Addr, has: Option<Revision>, servers: Vec<Instance>) -> ToMarker {
+    pub fn open(
+        &mut self,
+        now: Millis,
+        ip: Ipv4Addr,
+        has: Option<Revision>,
+        servers: Vec<Instance>,
+    ) -> ToMarker {
         self.pass(now);
         self.sessions.insert(ip, Session { opened: now, heard: now, ..Session::default() });
         ToMarker::Hello { incarnation: self.life, name: self.name.clone(), in_force: has, servers }
@@ -248,7 +256,8 @@
         if best == self.home {
             return Vec::new();
         }
-        let mut say: Vec<(Ipv4Addr, ToMarker)> = self.home.into_iter().map(|ip| (ip, ToMarker::Attach(false))).collect();
+        let mut say: Vec<(Ipv4Addr, ToMarker)> =
+            self.home.into_iter().map(|ip| (ip, ToMarker::Attach(false))).collect();
         self.home = best;
         if let Some(session) = best.and_then(|ip| self.sessions.get_mut(&ip)) {
             (session.others, session.left, session.began) = (None, false, false);
@@ -278,13 +287,19 @@
         if session.contact || alone {
             return servers;
         }
-        let (ready, leave): (Vec<_>, Vec<_>) = servers.into_iter().partition(|s| s.state == InstanceState::Ready);
+        let (ready, leave): (Vec<_>, Vec<_>) =
+            servers.into_iter().partition(|s| s.state == InstanceState::Ready);
         session.ready.extend(ready.into_iter().map(|server| (server.id.clone(), server)));
         leave
     }
 
     /// A marker says something. Gives what it changes, and what to say.
-    pub fn take(&mut self, now: Millis, ip: Ipv4Addr, word: ToGatekeeper) -> (Option<Change>, Vec<(Ipv4Addr, ToMarker)>) {
+    pub fn take(
+        &mut self,
+        now: Millis,
+        ip: Ipv4Addr,
+        word: ToGatekeeper,
+    ) -> (Option<Change>, Vec<(Ipv4Addr, ToMarker)>) {
         if let Some(session) = self.sessions.get_mut(&ip) {
             (session.heard, session.heard_since) = (now, true);
         }
@@ -295,7 +310,12 @@
         (change, say)
     }
 
-    fn take_word(&mut self, now: Millis, ip: Ipv4Addr, word: ToGatekeeper) -> (Option<Change>, Vec<(Ipv4Addr, ToMarker)>) {
+    fn take_word(
+        &mut self,
+        now: Millis,
+        ip: Ipv4Addr,
+        word: ToGatekeeper,
+    ) -> (Option<Change>, Vec<(Ipv4Addr, ToMarker)>) {
         match word {
             ToGatekeeper::Pong => (None, Vec::new()),
             ToGatekeeper::Update(number, news) => {
@@ -308,7 +328,9 @@
                         }
                         None
                     }
-                    Update::ConfigurationDifference(difference) if self.begun => Some(Change::Difference(difference)),
+                    Update::ConfigurationDifference(difference) if self.begun => {
+                        Some(Change::Difference(difference))
+                    }
                     Update::ConfigurationDifference(difference) => {
                         // Of what was kept aside, if it was told from that.
                         let session = self.sessions.get_mut(&ip);
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -12,7 +12,7 @@
 use granitelead_common::configuration::{self, Configuration, Route};
 use granitelead_common::error_kinds::ErrorKind;
 use granitelead_common::settings::Bounds;
-use granitelead_control_protocol::messages::{Document, ToGatekeeper, Revision, ToMarker};
+use granitelead_control_protocol::messages::{Document, Revision, ToGatekeeper, ToMarker};
 use hyper::header::{HeaderMap, AUTHORIZATION};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -209,7 +209,8 @@
         let dice = self.rng.f64();
         let service = self.splits.next(configuration.version, &host, place, route, dice);
         let service = service.and_then(|place| configuration.services.get(place));
-        let service = service.map(|service| service.name.clone()).ok_or(Refusal::from(ErrorKind::Overloaded))?;
+        let service =
+            service.map(|service| service.name.clone()).ok_or(Refusal::from(ErrorKind::Overloaded))?;
         let mut deadline = now + (time.as_millis() as Millis).saturating_sub(MARGIN);
         if let Some(drain) = &self.drain {
             let aim = route.target.as_millis() as Millis;
--- a/crates/proxy/src/request_state.rs
+++ b/crates/proxy/src/request_state.rs
@@ -191,8 +191,14 @@
             eq(&Next::End(ErrorKind::Upstream))
         );
         let mut late = request(RetrySafety::Idempotent);
-        expect_that!(late.on_outcome(590, &Outcome::NotSent, 50.0, || true), eq(&Next::End(ErrorKind::Overloaded)));
-        expect_that!(late.on_outcome(600, &Outcome::Silent, 50.0, || true), eq(&Next::End(ErrorKind::Deadline)));
+        expect_that!(
+            late.on_outcome(590, &Outcome::NotSent, 50.0, || true),
+            eq(&Next::End(ErrorKind::Overloaded))
+        );
+        expect_that!(
+            late.on_outcome(600, &Outcome::Silent, 50.0, || true),
+            eq(&Next::End(ErrorKind::Deadline))
+        );
         let mut poor = request(RetrySafety::Idempotent);
         expect_that!(
             poor.on_outcome(100, &Outcome::TurnedAway, 50.0, || false),
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -112,7 +112,8 @@
             server.told.update(word);
             server.gone = now;
         }
-        let gone = |s: &Server| s.told.state == InstanceState::Gone && s.under_way == 0 && now >= s.gone + REMEMBER;
+        let gone =
+            |s: &Server| s.told.state == InstanceState::Gone && s.under_way == 0 && now >= s.gone + REMEMBER;
         self.by_id.retain(|id, server| {
             let keeps = !gone(server);
             if !keeps {
@@ -126,7 +127,12 @@
 
     /// All that are not gone, as others are to know them.
     pub fn all(&self) -> Vec<Instance> {
-        self.by_id.values().map(|s| &s.told).filter(|told| told.state != InstanceState::Gone).cloned().collect()
+        self.by_id
+            .values()
+            .map(|s| &s.told)
+            .filter(|told| told.state != InstanceState::Gone)
+            .cloned()
+            .collect()
     }
 
     /// How many are ready, by service.
--- a/crates/proxy/src/sessions.rs
+++ b/crates/proxy/src/sessions.rs
@@ -3,7 +3,7 @@
 use crate::front::Front;
 use granitelead_base::Backoff;
 use granitelead_control_protocol::connection::{self, Sender};
-use granitelead_control_protocol::messages::{ToGatekeeper, ToMarker, Message};
+use granitelead_control_protocol::messages::{Message, ToGatekeeper, ToMarker};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -10,7 +10,7 @@
 use crate::budget::GATEKEEPERS_UNTOLD;
 use crate::Millis;
 use granitelead_common::configuration::Tenant;
-use granitelead_common::recent_use::{WindowUsage, RecentUse};
+use granitelead_common::recent_use::{RecentUse, WindowUsage};
 use granitelead_decisions::{Customer, CustomerId, Plan};
 use std::collections::HashMap;
 
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -25,7 +25,9 @@
 
 use granitelead_common::configuration::Tenant;
 use granitelead_common::settings::Bounds;
-use granitelead_control_protocol::messages::{PeerMessage, ToGatekeeper, Instance, Update, Node, InstanceState, ToMarker, Message};
+use granitelead_control_protocol::messages::{
+    Instance, InstanceState, Message, Node, PeerMessage, ToGatekeeper, ToMarker, Update,
+};
 use granitelead_proxy::control::Control;
 use granitelead_proxy::gate::Gate;
 use marker::core::{begin, Core};
@@ -411,7 +413,8 @@
             let Some(m) = self.board(ip) else { continue };
             let Some((id, _)) = self.columns[g].sessions.get(&ip).copied() else { continue };
             if self.weighs {
-                self.bytes.1 += granitelead_control_protocol::frames::encode(&Message::ToMarker(word.clone())).len();
+                self.bytes.1 +=
+                    granitelead_control_protocol::frames::encode(&Message::ToMarker(word.clone())).len();
             }
             let start = self.boards[m].start;
             self.at(1, Event::ToMarker(g, m, start, id, word));
@@ -440,8 +443,10 @@
                 }
                 Output::Tell(id, word) => {
                     if self.weighs {
-                        self.bytes.0 +=
-                            granitelead_control_protocol::frames::encode(&Message::ToGatekeeper(word.clone())).len();
+                        self.bytes.0 += granitelead_control_protocol::frames::encode(&Message::ToGatekeeper(
+                            word.clone(),
+                        ))
+                        .len();
                     }
                     if let Some((g, _)) = self.boards[n].sessions.get(&id).copied() {
                         let start = self.columns[g].start;
