--- a/crates/marker/tests/model.rs
+++ b/crates/marker/tests/model.rs
@@ -1,17 +1,21 @@
-//! The agreement of the core in every order of events, exhaustively: the very code that runs, without time.
+//! Exhaustive model check of the agreement: explores the production state machine, which uses no
+//! clock, under every order of events.
 //!
-//! Three markers, one loss to be borne; also with a fourth that waits outside and takes a place, or one more; also five
-//! with two losses. What was said is never taken back: any word comes in any order, any number of
-//! times or never, also long after its sender has started again, so loss, doubles, delays, cuts and freezes are all
-//! among the orders; only what can change nothing any more is left out. A write is on disk at once or, for one marker at
-//! a time, at any later time and, where power is lost, never. Rounds may begin at any time, with either of the others
-//! as backup; how many there are of rounds, versions, losses of power and of folders is bounded.
+//! The models have three markers with one loss to tolerate; a fourth marker that waits outside and
+//! replaces a member or is added; and five markers with two losses. A message that was sent stays
+//! in the network: it can be delivered in any order, any number of times or never, also long after
+//! its sender restarted. Loss, duplication, delay, partitions and freezes are thereby covered; only
+//! messages that can have no effect any more are dropped. A write is on disk at once or, for one
+//! marker at a time, at any later time and, on a power loss, never. Rounds may start at any time,
+//! with any choice of backups. The numbers of rounds, versions, power losses and lost data
+//! directories are bounded.
 //!
-//! Each rule has a variant that breaks it, by tampering with what goes in or comes out, and is caught.
+//! For each rule there is a variant that breaks it, by altering inputs or outputs, which the
+//! checker must detect.
 
 use granitelead_control_protocol::ledger::Known;
 use granitelead_control_protocol::words::{Between, Digest, Document, Epoch, Ledger, Node, Number, Whole};
-use marker::agreement::{Act, Agreement, Orders, Then};
+use marker::agreement::{AfterWrite, Agreement, ChangeBatch, Effect};
 use marker::core::begin;
 use marker::parts::Keeping;
 use stateright::{Checker, Model, Property};
@@ -19,137 +23,138 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// How a round changes the core, if it may.
+/// How a round changes the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Change {
-    /// Not, but for a folder that was lost.
-    Nothing,
-    /// The last marker, which waits outside, takes the place of this one.
-    InPlaceOf(usize),
-    /// It is one more.
-    OneMore,
+    /// No change, except that a marker which lost its data directory gets its new identity.
+    None,
+    /// The last marker, which waits outside, replaces this member.
+    Replace(usize),
+    /// The last marker is added.
+    Add,
 }
 
-/// Where all begin.
+/// The initial state of the exploration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Start {
-    /// From nothing.
-    Nothing,
-    /// From a primary, the first, that has answered.
-    Led,
-    /// The same, and it goes on to change the core so; only it keeps that epoch yet, and all others may hear of it.
-    Changing(Change),
+    /// All markers have empty state.
+    Empty,
+    /// The first marker is primary and has confirmed a configuration.
+    HasPrimary,
+    /// As `HasPrimary`, and the primary then starts this change of the core: only it has accepted the new
+    /// epoch so far, and its requests to the others are in the network.
+    ChangingCore(Change),
 }
 
-/// How a rule is broken.
+/// The rule that a variant breaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Broken {
-    Nothing,
-    /// The primary answers before its backup holds the configuration.
-    AnswersEarly,
-    /// What was promised is forgotten where power is lost.
-    ForgetsPromises,
-    /// One whose folder was lost comes back as if it were the same.
-    KeepsItsName,
-    /// A read is answered without asking the backups.
-    ReadsAtOnce,
-    /// Others are asked to promise before the own promise is on disk.
-    AsksEarly,
-    /// A second copy of a round is taken in like the first.
-    CopiesAgain,
-    /// An epoch counts as kept by the core when one keeps it.
-    KeptByOne,
-    /// Whoever asks takes over, also one that holds nothing.
-    AnybodyLeads,
-    /// The core before a change is left behind before most of it has kept the change.
-    LeavesBehind,
-    /// A copy hands over the configuration only, and not which content each number stands for.
-    CopiesNoLedger,
+enum Mutation {
+    None,
+    /// The primary confirms before its backup stores the configuration.
+    ConfirmsBeforeReplication,
+    /// A power loss erases the promise.
+    LosesPromises,
+    /// A marker that lost its data directory returns under its old identity.
+    KeepsIdentity,
+    /// A read is answered without a check with the backups.
+    ReadsWithoutCheck,
+    /// Prepare requests are sent before the own promise is on disk.
+    PreparesBeforeWrite,
+    /// A repeated copy of a round overwrites the state like the first.
+    AppliesRepeatedCopy,
+    /// One acceptance counts as acceptance by the whole core.
+    AcceptedByOne,
+    /// A marker that lacks the committed state can win a round.
+    AnyMarkerWins,
+    /// The previous core is dropped before a majority of it has accepted the change.
+    DropsPreviousCore,
+    /// A copy contains the configuration without the version ledger.
+    CopiesWithoutLedger,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     markers: Vec<Arc<Agreement>>,
-    disks: Vec<Kept>,
-    /// Writes that are not on disk yet, with what is done after.
-    writes: Vec<Option<(Kept, BTreeSet<Then>)>>,
-    /// Whom each takes as backups, a bit a marker, and how it changes the core.
-    takes: Vec<(u8, Change)>,
-    said: BTreeSet<(Node, usize, Arc<Between>)>,
-    begun: u8,
-    changed: u8,
-    lost_power: u8,
-    wiped: u8,
-    put: u32,
-    overtaken: u8,
-    /// The newest version that was answered for, and what was confirmed under each.
-    answered: u32,
+    disks: Vec<DiskState>,
+    /// Writes that are not on disk yet, with the actions that follow them.
+    writes: Vec<Option<(DiskState, BTreeSet<AfterWrite>)>>,
+    /// The backups that each marker chooses, as a bit mask, and its change of the core.
+    choices: Vec<(u8, Change)>,
+    network: BTreeSet<(Node, usize, Arc<Between>)>,
+    rounds_started: u8,
+    core_changes: u8,
+    power_losses: u8,
+    wipes: u8,
+    changes_sent: u32,
+    superseded: u8,
+    /// The newest confirmed version, and the content confirmed under each version.
+    confirmed_version: u32,
     contents: BTreeMap<u32, Digest>,
     primaries: BTreeMap<Number, Node>,
-    /// A read under way: where, and what had been answered for when it was begun.
-    reads: Option<(usize, u32)>,
-    has_read: bool,
-    wrong: Option<&'static str>,
+    /// A read in progress: its marker, and the newest version confirmed before it began.
+    read: Option<(usize, u32)>,
+    read_done: bool,
+    violation: Option<&'static str>,
 }
 
-/// [`Keeping`] as far as the agreement goes.
+/// The part of [`Keeping`] that the agreement uses, in a hashable form.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Kept(Node, Number, Number, Option<Epoch>, Option<Arc<Document>>, Option<u32>, Arc<Ledger>);
+struct DiskState(Node, Number, Number, Option<Epoch>, Option<Arc<Document>>, Option<u32>, Arc<Ledger>);
 
-impl From<Keeping> for Kept {
-    fn from(k: Keeping) -> Kept {
-        Kept(k.node, k.promised, k.copied, k.epoch, k.document, k.sure, k.ledger)
+impl From<Keeping> for DiskState {
+    fn from(k: Keeping) -> DiskState {
+        DiskState(k.node, k.promised, k.copied, k.epoch, k.document, k.sure, k.ledger)
     }
 }
 
-impl From<Kept> for Keeping {
-    fn from(kept: Kept) -> Keeping {
-        let Kept(node, promised, copied, epoch, document, sure, ledger) = kept;
+impl From<DiskState> for Keeping {
+    fn from(state: DiskState) -> Keeping {
+        let DiskState(node, promised, copied, epoch, document, sure, ledger) = state;
         Keeping { node, promised, copied, epoch, document, ledger, sure, ballots: BTreeMap::new() }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Event {
-    Begin {
+    StartRound {
         marker: usize,
-        takes: u8,
+        backups: u8,
         change: Change,
     },
     Put(usize),
-    /// An order that was overtaken before it came, with a content of its own.
-    Overtaken(usize),
+    /// A change to a version that is already superseded, with a new content.
+    PutSuperseded(usize),
     Read(usize),
     Written(usize),
     PowerLost(usize),
     Wiped(usize),
-    Comes(Node, usize, Arc<Between>),
+    Deliver(Node, usize, Arc<Between>),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Core {
-    broken: Broken,
-    /// Whose writes are on disk some time later; the others' are at once.
-    late: Option<usize>,
+struct Scenario {
+    mutation: Mutation,
+    /// The marker whose writes are delayed; those of the others complete at once.
+    slow_disk: Option<usize>,
     start: Start,
-    /// How many there are, and how many of them found the core.
+    /// The number of markers, and how many of them are founding members.
     markers: usize,
     founders: usize,
-    /// How many of the core may be lost: so many backups.
+    /// The number of losses to tolerate, which is the number of backups.
     losses: u32,
     changes: u8,
-    /// Who begins rounds.
-    begin: &'static [usize],
+    /// The markers that start rounds.
+    initiators: &'static [usize],
     rounds: u8,
     versions: u32,
-    /// Orders under number 0, which the first configuration has overtaken.
-    overtaken: u8,
-    powers: u8,
+    /// The number of changes under version 0, which the first configuration supersedes.
+    superseded: u8,
+    power_losses: u8,
     wipes: u8,
     reads: bool,
 }
 
-fn at(world: &mut World, n: usize) -> &mut Agreement {
+fn marker_mut(world: &mut World, n: usize) -> &mut Agreement {
     Arc::make_mut(&mut world.markers[n])
 }
 
@@ -157,106 +162,112 @@
     Ipv4Addr::new(10, 0, 0, 1 + marker as u8)
 }
 
-impl Core {
-    /// Does what follows from an event at a marker.
-    fn follow(&self, world: &mut World, n: usize, acts: Vec<Act>) {
-        let mut acts = std::collections::VecDeque::from(acts);
-        while let Some(act) = acts.pop_front() {
+impl Scenario {
+    /// Carries out the effects of an event at a marker.
+    fn apply_effects(&self, world: &mut World, n: usize, effects: Vec<Effect>) {
+        let mut effects = std::collections::VecDeque::from(effects);
+        while let Some(effect) = effects.pop_front() {
             let mut more = Vec::new();
-            match act {
-                Act::Say(to, word) => {
+            match effect {
+                Effect::Send(to, message) => {
                     let to = (0..self.markers).find(|m| ip(*m) == to).unwrap();
                     let me = world.markers[n].me();
-                    match (&word, self.broken) {
-                        (Between::Hold(number, change), Broken::AnswersEarly) => {
+                    match (&message, self.mutation) {
+                        (Between::Hold(number, change), Mutation::ConfirmsBeforeReplication) => {
                             let held = Between::Held(*number, *change.entries.keys().next_back().unwrap());
-                            let backup = world.markers[n].leads().unwrap().1[0];
-                            at(world, n).take(backup, held, &mut more);
+                            let backup = world.markers[n].leadership().unwrap().1[0];
+                            marker_mut(world, n).on_message(backup, held, &mut more);
                         }
-                        (Between::Keep(epoch), Broken::KeptByOne) => {
+                        (Between::Keep(epoch), Mutation::AcceptedByOne) => {
                             let number = epoch.number;
                             for node in epoch.core.clone() {
-                                at(world, n).take(node, Between::Kept(number), &mut more);
+                                marker_mut(world, n).on_message(node, Between::Kept(number), &mut more);
                             }
                         }
                         _ => {}
                     }
-                    world.said.insert((me, to, Arc::new(word)));
+                    world.network.insert((me, to, Arc::new(message)));
                 }
-                Act::Keep(then) => {
-                    if let (Then::Ask(_), Broken::AsksEarly) = (&then, self.broken) {
-                        at(world, n).written(then.clone(), &mut more);
+                Effect::Persist(action) => {
+                    if let (AfterWrite::SendPrepare(_), Mutation::PreparesBeforeWrite) =
+                        (&action, self.mutation)
+                    {
+                        marker_mut(world, n).on_written(action.clone(), &mut more);
                     }
-                    let kept = world.markers[n].keeping().into();
-                    if self.late != Some(n) {
-                        world.disks[n] = kept;
-                        at(world, n).written(then, &mut more);
-                        more.into_iter().rev().for_each(|act| acts.push_front(act));
+                    let state = world.markers[n].persistent_state().into();
+                    if self.slow_disk != Some(n) {
+                        world.disks[n] = state;
+                        marker_mut(world, n).on_written(action, &mut more);
+                        more.into_iter().rev().for_each(|effect| effects.push_front(effect));
                         continue;
                     }
-                    let thens = world.writes[n].take().map(|(_, thens)| thens).unwrap_or_default();
-                    world.writes[n] = Some((kept, thens.into_iter().chain([then]).collect()));
+                    let actions = world.writes[n].take().map(|(_, actions)| actions).unwrap_or_default();
+                    world.writes[n] = Some((state, actions.into_iter().chain([action]).collect()));
                 }
-                Act::Choose { number, newest, willing } => {
+                Effect::ChooseEpoch { number, newest, willing } => {
                     if world.primaries.keys().any(|led| newest.number < *led && *led < number) {
-                        world.wrong = Some("an epoch that led is passed over");
+                        world.violation = Some("a round skipped an epoch that had a primary");
                     }
-                    if let Some(next) = self.next(world, n, number, &newest, &willing) {
-                        at(world, n).copy(next, &mut more);
+                    if let Some(next) = self.next_epoch(world, n, number, &newest, &willing) {
+                        marker_mut(world, n).choose_epoch(next, &mut more);
                     }
                 }
-                Act::Leads(number) => {
+                Effect::BecamePrimary(number) => {
                     let holds = world.markers[n].document().map_or(0, |d| d.version);
-                    // Late news of an epoch that is over does no harm: nothing more is answered in it.
+                    // A late message about a superseded epoch is harmless: nothing more is answered
+                    // in it.
                     let newest = world.primaries.keys().all(|other| *other <= number);
-                    if newest && holds < world.answered {
-                        world.wrong = Some("a primary lacks what was answered for");
+                    if newest && holds < world.confirmed_version {
+                        world.violation = Some("a primary lacks a confirmed configuration");
                     }
                     let ledger = world.markers[n].ledger();
                     let lacks = |(version, digest): (&u32, &Digest)| {
                         ledger.known(*version) != Known::Content(*digest)
                     };
                     if newest && world.contents.iter().any(lacks) {
-                        world.wrong = Some("a primary lacks which content a number stands for");
+                        world.violation = Some("a primary lacks the content of a confirmed version");
                     }
                     let other = *world.primaries.entry(number).or_insert(world.markers[n].me());
                     if other != world.markers[n].me() {
-                        world.wrong = Some("two primaries in one epoch");
+                        world.violation = Some("two primaries in one epoch");
                     }
                 }
-                Act::Safe(document) => self.answered(world, n, &document),
-                Act::Entered(entries) => {
-                    entries.into_iter().for_each(|(version, digest)| confirmed(world, version, digest));
+                Effect::Committed(document) => self.on_confirmed(world, n, &document),
+                Effect::VersionsCommitted(entries) => {
+                    entries
+                        .into_iter()
+                        .for_each(|(version, digest)| record_confirmed(world, version, digest));
                 }
-                Act::Certain(_) => {
-                    let read = world.markers[n].sure().map_or(0, |d| d.version);
-                    if let Some((_, since)) = world.reads.take().filter(|(at, _)| *at == n) {
-                        world.has_read = true;
+                Effect::CheckPassed(_) => {
+                    let read = world.markers[n].committed().map_or(0, |d| d.version);
+                    if let Some((_, since)) = world.read.take().filter(|(at, _)| *at == n) {
+                        world.read_done = true;
                         if read < since {
-                            world.wrong = Some("an old read");
+                            world.violation = Some("a read returned an outdated configuration");
                         }
                     }
                 }
-                Act::GoesOn | Act::Failed | Act::Deposed(_) => {}
+                Effect::PhaseAdvanced | Effect::RoundFailed | Effect::SteppedDown(_) => {}
             }
-            more.into_iter().rev().for_each(|act| acts.push_front(act));
+            more.into_iter().rev().for_each(|effect| effects.push_front(effect));
         }
     }
 
-    fn answered(&self, world: &mut World, n: usize, document: &Document) {
-        let Some((number, _)) = world.markers[n].leads() else { return };
+    fn on_confirmed(&self, world: &mut World, n: usize, document: &Document) {
+        let Some((number, _)) = world.markers[n].leadership() else { return };
         let version = document.version;
-        confirmed(world, version, digest(document.bytes[0]));
-        let later = |m: &&Arc<Agreement>| m.leads().is_some_and(|(other, _)| other > number);
+        record_confirmed(world, version, digest(document.bytes[0]));
+        let later = |m: &&Arc<Agreement>| m.leadership().is_some_and(|(other, _)| other > number);
         let lacks = |m: &Arc<Agreement>| m.document().is_none_or(|d| d.version < version);
         if world.markers.iter().filter(later).any(lacks) {
-            world.wrong = Some("answered in an epoch that was over");
+            world.violation = Some("confirmed in a superseded epoch");
         }
-        world.answered = world.answered.max(version);
+        world.confirmed_version = world.confirmed_version.max(version);
     }
 
-    /// The epoch that follows: whoever is wanted as backup, and one with a new folder in the place of what it was.
-    fn next(
+    /// The next epoch, with the chosen backups. A marker that lost its data directory replaces its
+    /// old identity.
+    fn next_epoch(
         &self,
         world: &World,
         n: usize,
@@ -265,7 +276,7 @@
         willing: &BTreeSet<Node>,
     ) -> Option<Epoch> {
         let me = world.markers[n].me();
-        let (takes, change) = world.takes[n];
+        let (wanted, change) = world.choices[n];
         let mut core = newest.core.clone();
         let now = |node: &Node| world.markers.iter().map(|m| m.me()).find(|m| m.ip == node.ip);
         let waits = world.markers[self.markers - 1].me();
@@ -274,19 +285,19 @@
                 core[place] = now(&core[place])?;
             } else if !core.contains(&waits) {
                 match change {
-                    Change::Nothing => {}
-                    Change::InPlaceOf(other) => {
+                    Change::None => {}
+                    Change::Replace(other) => {
                         let place = core.iter().position(|node| node.ip == ip(other))?;
                         core[place] = waits;
                     }
-                    Change::OneMore => core.push(waits),
+                    Change::Add => core.push(waits),
                 }
             }
             core.sort();
         }
-        let taken = |node: &&Node| (0..self.markers).any(|m| takes & 1 << m != 0 && ip(m) == node.ip);
+        let taken = |node: &&Node| (0..self.markers).any(|m| wanted & 1 << m != 0 && ip(m) == node.ip);
         let backups: Vec<Node> = core.iter().filter(taken).copied().collect();
-        let enough = backups.len() as u32 == takes.count_ones();
+        let enough = backups.len() as u32 == wanted.count_ones();
         (enough && backups.iter().all(|node| willing.contains(node))).then(|| Epoch {
             number,
             core,
@@ -296,140 +307,145 @@
         })
     }
 
-    /// All choices of backups.
+    /// All sets of backups that a marker can choose, as bit masks.
     fn choices(&self, n: usize) -> impl Iterator<Item = u8> + '_ {
         (0..1 << self.markers)
-            .filter(move |takes: &u8| takes & 1 << n == 0 && takes.count_ones() == self.losses)
+            .filter(move |backups: &u8| backups & 1 << n == 0 && backups.count_ones() == self.losses)
     }
 
-    /// Every word comes, until nothing changes any more.
-    fn calm(&self, mut world: World) -> World {
-        while let Some(next) = world
-            .said
-            .iter()
-            .find_map(|(from, n, word)| self.next_state(&world, Event::Comes(*from, *n, word.clone())))
-        {
+    /// Delivers every message until nothing changes any more.
+    fn deliver_all(&self, mut world: World) -> World {
+        while let Some(next) = world.network.iter().find_map(|(from, n, message)| {
+            self.next_state(&world, Event::Deliver(*from, *n, message.clone()))
+        }) {
             world = next;
         }
         world
     }
 
-    fn step(&self, world: &mut World, n: usize, take: impl FnOnce(&mut Agreement, &mut Vec<Act>)) {
-        let mut acts = Vec::new();
-        take(at(world, n), &mut acts);
-        self.follow(world, n, acts);
+    fn step(&self, world: &mut World, n: usize, take: impl FnOnce(&mut Agreement, &mut Vec<Effect>)) {
+        let mut effects = Vec::new();
+        take(marker_mut(world, n), &mut effects);
+        self.apply_effects(world, n, effects);
     }
 
-    /// A marker starts with what its disk holds.
-    fn start(&self, world: &mut World, n: usize) {
+    /// Restarts a marker from its disk.
+    fn restart(&self, world: &mut World, n: usize) {
         world.writes[n] = None;
-        if self.broken == Broken::ForgetsPromises {
+        if self.mutation == Mutation::LosesPromises {
             world.disks[n].1 = Number::default();
         }
         world.markers[n] = Arc::new(Agreement::new(world.disks[n].clone().into()));
-        if world.reads.is_some_and(|(at, _)| at == n) {
-            world.reads = None;
+        if world.read.is_some_and(|(at, _)| at == n) {
+            world.read = None;
         }
     }
 }
 
-fn confirmed(world: &mut World, version: u32, digest: Digest) {
+fn record_confirmed(world: &mut World, version: u32, digest: Digest) {
     if *world.contents.entry(version).or_insert(digest) != digest {
-        world.wrong = Some("two contents were confirmed under one number");
+        world.violation = Some("two contents were confirmed under one version");
     }
 }
 
-/// Stands for the hash, which costs time and tells nothing more here.
+/// Replaces the real hash, which would cost time and add nothing to the model.
 fn digest(content: u8) -> Digest {
     Digest([content; 16])
 }
 
-/// An order of a number with a content.
-fn order(version: u32, content: u8) -> Orders {
+/// A batch with one change.
+fn change_batch(version: u32, content: u8) -> ChangeBatch {
     let document = Document { version, bytes: vec![content] };
-    let mut orders = Orders::default();
-    orders.add(&Arc::new(document), digest(content));
-    orders
+    let mut changes = ChangeBatch::default();
+    changes.add(&Arc::new(document), digest(content));
+    changes
 }
 
-/// Whether a word may still change anything where it goes to: what is below a promise that is on disk is refused for ever,
-/// and nobody waits for answers to what is over.
-fn matters(marker: &Agreement, disk: &Kept, word: &Between) -> bool {
-    let waits = |number| marker.asks() == Some(number) || marker.leads().is_some_and(|(n, _)| n == number);
-    match word {
+/// Whether a message can still have an effect at its recipient. Requests below a persisted promise
+/// are refused forever, and responses to finished requests are ignored.
+fn is_relevant(marker: &Agreement, disk: &DiskState, message: &Between) -> bool {
+    let waits = |number| {
+        marker.round_in_progress() == Some(number) || marker.leadership().is_some_and(|(n, _)| n == number)
+    };
+    match message {
         Between::Prepare(n) | Between::Copy(n, _) | Between::Hold(n, _) | Between::Check(n, _) => {
             *n >= disk.1
         }
         Between::Keep(epoch) => epoch.number >= disk.1,
-        Between::Promise(n, _) | Between::Copied(n) | Between::Kept(n) => marker.asks() == Some(*n),
+        Between::Promise(n, _) | Between::Copied(n) | Between::Kept(n) => {
+            marker.round_in_progress() == Some(*n)
+        }
         Between::Held(n, _) | Between::Checked(n, _) => waits(*n),
-        // It only makes its hearer give up what could not succeed.
+        // It only makes its recipient abandon a round or an epoch that can't succeed.
         _ => false,
     }
 }
 
-impl Model for Core {
+impl Model for Scenario {
     type State = World;
     type Action = Event;
 
     fn init_states(&self) -> Vec<World> {
         let seeds: Vec<Ipv4Addr> = (0..self.founders).map(ip).collect();
         let first = |n: usize| begin(ip(n), &seeds, n < self.founders, 0);
-        let disks: Vec<Kept> = (0..self.markers).map(|n| first(n).into()).collect();
+        let disks: Vec<DiskState> = (0..self.markers).map(|n| first(n).into()).collect();
         let markers = disks.iter().map(|disk| Arc::new(Agreement::new(disk.clone().into()))).collect();
         let mut world = World {
             markers,
             disks,
             writes: vec![None; self.markers],
-            takes: vec![(0, Change::Nothing); self.markers],
-            said: BTreeSet::new(),
-            begun: 0,
-            changed: 0,
-            lost_power: 0,
-            wiped: 0,
-            put: 0,
-            overtaken: 0,
-            answered: 0,
+            choices: vec![(0, Change::None); self.markers],
+            network: BTreeSet::new(),
+            rounds_started: 0,
+            core_changes: 0,
+            power_losses: 0,
+            wipes: 0,
+            changes_sent: 0,
+            superseded: 0,
+            confirmed_version: 0,
             contents: BTreeMap::new(),
             primaries: BTreeMap::new(),
-            reads: None,
-            has_read: false,
-            wrong: None,
+            read: None,
+            read_done: false,
+            violation: None,
         };
-        let calm = Core { late: None, broken: Broken::Nothing, ..*self };
-        let takes = (1 << (self.losses + 1)) - 2;
-        if self.start != Start::Nothing {
-            for event in [Event::Begin { marker: 0, takes, change: Change::Nothing }, Event::Put(0)] {
-                world = calm.calm(calm.next_state(&world, event).unwrap());
+        let plain = Scenario { slow_disk: None, mutation: Mutation::None, ..*self };
+        let backups = (1 << (self.losses + 1)) - 2;
+        if self.start != Start::Empty {
+            for event in [Event::StartRound { marker: 0, backups, change: Change::None }, Event::Put(0)] {
+                world = plain.deliver_all(plain.next_state(&world, event).unwrap());
             }
-            assert_eq!((world.answered, world.put), (1, 1));
+            assert_eq!((world.confirmed_version, world.changes_sent), (1, 1));
         }
-        if let Start::Changing(change) = self.start {
-            world = calm.next_state(&world, Event::Begin { marker: 0, takes, change }).unwrap();
-            while !world.said.iter().any(|(_, _, word)| matches!(**word, Between::Keep(_))) {
-                let next = |(from, n, word): &(Node, usize, Arc<Between>)| {
-                    calm.next_state(&world, Event::Comes(*from, *n, word.clone()))
+        if let Start::ChangingCore(change) = self.start {
+            world = plain.next_state(&world, Event::StartRound { marker: 0, backups, change }).unwrap();
+            while !world.network.iter().any(|(_, _, message)| matches!(**message, Between::Keep(_))) {
+                let next = |(from, n, message): &(Node, usize, Arc<Between>)| {
+                    plain.next_state(&world, Event::Deliver(*from, *n, message.clone()))
                 };
-                world = world.said.iter().find_map(next).unwrap();
+                world = world.network.iter().find_map(next).unwrap();
             }
-            world.begun = 1;
+            world.rounds_started = 1;
         }
         vec![world]
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Event>) {
         for n in 0..self.markers {
-            // The first round is begun by one of them, which is all the same which.
-            if world.begun < self.rounds && (world.begun > 0 || n == 0) && self.begin.contains(&n) {
-                let mut changes = vec![Change::Nothing];
-                if world.changed < self.changes {
+            // The first round always starts at marker 0; the others are symmetric.
+            if world.rounds_started < self.rounds
+                && (world.rounds_started > 0 || n == 0)
+                && self.initiators.contains(&n)
+            {
+                let mut changes = vec![Change::None];
+                if world.core_changes < self.changes {
                     let others = (0..self.founders).filter(|m| *m != n);
-                    changes.extend(others.map(Change::InPlaceOf).chain([Change::OneMore]));
+                    changes.extend(others.map(Change::Replace).chain([Change::Add]));
                 }
-                for takes in self.choices(n).filter(|takes| world.begun > 0 || *takes == 2) {
-                    actions.extend(changes.iter().map(|change| Event::Begin {
+                for backups in self.choices(n).filter(|backups| world.rounds_started > 0 || *backups == 2) {
+                    actions.extend(changes.iter().map(|change| Event::StartRound {
                         marker: n,
-                        takes,
+                        backups,
                         change: *change,
                     }));
                 }
@@ -437,209 +453,241 @@
             if world.writes[n].is_some() {
                 actions.push(Event::Written(n));
             }
-            if world.lost_power < self.powers && world.begun > 0 {
+            if world.power_losses < self.power_losses && world.rounds_started > 0 {
                 actions.push(Event::PowerLost(n));
             }
-            if world.wiped < self.wipes && world.answered > 0 {
+            if world.wipes < self.wipes && world.confirmed_version > 0 {
                 actions.push(Event::Wiped(n));
             }
-            let leads = world.markers[n].leads().is_some();
-            if leads && world.put < self.versions && !world.markers[n].is_holding() {
+            let leads = world.markers[n].leadership().is_some();
+            if leads && world.changes_sent < self.versions && !world.markers[n].is_replicating() {
                 actions.push(Event::Put(n));
             }
-            if leads && world.overtaken < self.overtaken && !world.markers[n].is_holding() {
-                actions.push(Event::Overtaken(n));
+            if leads && world.superseded < self.superseded && !world.markers[n].is_replicating() {
+                actions.push(Event::PutSuperseded(n));
             }
-            if leads && self.reads && world.reads.is_none() && !world.has_read && world.answered > 0 {
+            if leads && self.reads && world.read.is_none() && !world.read_done && world.confirmed_version > 0
+            {
                 actions.push(Event::Read(n));
             }
         }
-        actions.extend(world.said.iter().map(|(from, to, word)| Event::Comes(*from, *to, word.clone())));
+        actions.extend(
+            world.network.iter().map(|(from, to, message)| Event::Deliver(*from, *to, message.clone())),
+        );
     }
 
     fn next_state(&self, world: &World, event: Event) -> Option<World> {
         let mut next = world.clone();
         match event {
-            Event::Begin { marker, takes, change } => {
-                next.takes[marker] = (takes, change);
-                next.begun += 1;
-                next.changed += u8::from(change != Change::Nothing);
-                self.step(&mut next, marker, |a, acts| {
-                    a.begin(acts);
+            Event::StartRound { marker, backups, change } => {
+                next.choices[marker] = (backups, change);
+                next.rounds_started += 1;
+                next.core_changes += u8::from(change != Change::None);
+                self.step(&mut next, marker, |a, effects| {
+                    a.begin_round(effects);
                 });
             }
             Event::Put(n) => {
-                next.put += 1;
-                // Two operators that send at once may use one number for two contents.
+                next.changes_sent += 1;
+                // Two operators that send concurrently may use one version for two contents.
                 let version = next.markers[n].document().map_or(0, |d| d.version) + 1;
-                let orders = order(version, next.put as u8);
-                self.step(&mut next, n, |a, acts| a.hold(orders, acts));
+                let changes = change_batch(version, next.changes_sent as u8);
+                self.step(&mut next, n, |a, effects| a.replicate(changes, effects));
             }
-            Event::Overtaken(n) => {
-                next.overtaken += 1;
-                let orders = order(0, 100 + next.overtaken);
-                self.step(&mut next, n, |a, acts| a.hold(orders, acts));
+            Event::PutSuperseded(n) => {
+                next.superseded += 1;
+                let changes = change_batch(0, 100 + next.superseded);
+                self.step(&mut next, n, |a, effects| a.replicate(changes, effects));
             }
             Event::Read(n) => {
-                next.reads = Some((n, world.answered));
-                if self.broken == Broken::ReadsAtOnce {
-                    self.follow(&mut next, n, vec![Act::Certain(1)]);
+                next.read = Some((n, world.confirmed_version));
+                if self.mutation == Mutation::ReadsWithoutCheck {
+                    self.apply_effects(&mut next, n, vec![Effect::CheckPassed(1)]);
                 } else {
-                    self.step(&mut next, n, |a, acts| a.check(1, acts));
+                    self.step(&mut next, n, |a, effects| a.check(1, effects));
                 }
             }
             Event::Written(n) => {
-                let (kept, thens) = next.writes[n].take()?;
-                next.disks[n] = kept;
-                for then in thens {
-                    self.step(&mut next, n, |a, acts| a.written(then, acts));
+                let (state, actions) = next.writes[n].take()?;
+                next.disks[n] = state;
+                for action in actions {
+                    self.step(&mut next, n, |a, effects| a.on_written(action, effects));
                 }
             }
             Event::PowerLost(n) => {
-                next.lost_power += 1;
-                self.start(&mut next, n);
+                next.power_losses += 1;
+                self.restart(&mut next, n);
             }
             Event::Wiped(n) => {
-                next.wiped += 1;
+                next.wipes += 1;
                 let seeds: Vec<Ipv4Addr> = (0..self.founders).map(ip).collect();
-                let drawn = u64::from(next.wiped);
-                next.disks[n] = begin(ip(n), &seeds, self.broken == Broken::KeepsItsName, drawn).into();
-                self.start(&mut next, n);
+                let drawn = u64::from(next.wipes);
+                next.disks[n] = begin(ip(n), &seeds, self.mutation == Mutation::KeepsIdentity, drawn).into();
+                self.restart(&mut next, n);
             }
-            Event::Comes(from, n, word) => match (self.broken, &*word) {
-                (Broken::CopiesAgain, Between::Copy(..)) => {
-                    let keeping = Keeping { copied: Number::default(), ..next.markers[n].keeping() };
+            Event::Deliver(from, n, message) => match (self.mutation, &*message) {
+                (Mutation::AppliesRepeatedCopy, Between::Copy(..)) => {
+                    let keeping = Keeping { copied: Number::default(), ..next.markers[n].persistent_state() };
                     next.markers[n] = Arc::new(Agreement::new(keeping));
-                    self.step(&mut next, n, |a, acts| a.take(from, Between::clone(&word), acts));
+                    self.step(&mut next, n, |a, effects| {
+                        a.on_message(from, Between::clone(&message), effects)
+                    });
                 }
-                (Broken::LeavesBehind, Between::Promise(number, Some(epoch))) => {
+                (Mutation::DropsPreviousCore, Between::Promise(number, Some(epoch))) => {
                     let epoch = Epoch { before: epoch.core.clone(), ..epoch.clone() };
-                    let word = Between::Promise(*number, Some(epoch));
-                    self.step(&mut next, n, |a, acts| a.take(from, word, acts));
+                    let message = Between::Promise(*number, Some(epoch));
+                    self.step(&mut next, n, |a, effects| a.on_message(from, message, effects));
                 }
-                (Broken::CopiesNoLedger, Between::Copy(number, Whole { document, .. })) => {
+                (Mutation::CopiesWithoutLedger, Between::Copy(number, Whole { document, .. })) => {
                     let whole = Whole { document: document.clone(), ledger: Ledger::default() };
-                    self.step(&mut next, n, |a, acts| a.take(from, Between::Copy(*number, whole), acts));
+                    self.step(&mut next, n, |a, effects| {
+                        a.on_message(from, Between::Copy(*number, whole), effects)
+                    });
                 }
-                (Broken::AnybodyLeads, Between::Promise(number, Some(epoch))) => {
+                (Mutation::AnyMarkerWins, Between::Promise(number, Some(epoch))) => {
                     let me = next.markers[n].me();
                     let mut epoch = epoch.clone();
                     epoch.backups.push(me);
-                    let word = Between::Promise(*number, Some(epoch));
-                    self.step(&mut next, n, |a, acts| a.take(from, word, acts));
+                    let message = Between::Promise(*number, Some(epoch));
+                    self.step(&mut next, n, |a, effects| a.on_message(from, message, effects));
                 }
-                _ => self.step(&mut next, n, |a, acts| a.take(from, Between::clone(&word), acts)),
+                _ => self
+                    .step(&mut next, n, |a, effects| a.on_message(from, Between::clone(&message), effects)),
             },
         }
-        let World { said, markers, disks, .. } = &mut next;
-        said.retain(|(_, to, word)| matters(&markers[*to], &disks[*to], word));
+        let World { network, markers, disks, .. } = &mut next;
+        network.retain(|(_, to, message)| is_relevant(&markers[*to], &disks[*to], message));
         (next != *world).then_some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no rule is broken", |_, world: &World| world.wrong.is_none()),
-            Property::sometimes("something is answered", |_, world: &World| world.answered > 0),
-            Property::sometimes("a second epoch answers", |_, world: &World| world.primaries.len() > 1),
+            Property::always("no rule is violated", |_, world: &World| world.violation.is_none()),
+            Property::sometimes("a configuration is confirmed", |_, world: &World| {
+                world.confirmed_version > 0
+            }),
+            Property::sometimes("a second epoch has a primary", |_, world: &World| world.primaries.len() > 1),
         ]
     }
 }
 
-/// Explores all; gives how many states there are, and what went wrong, with the shortest way to it.
-fn explore(core: Core) -> (usize, Option<String>) {
-    let checker = core.checker().threads(8).spawn_bfs().join();
-    let wrong = checker.discovery("no rule is broken").map(|path| {
-        let why = path.last_state().wrong.unwrap_or_default();
-        let way = path.into_actions().into_iter().map(|event| format!("{event:?}\n")).collect::<String>();
-        format!("{why}:\n{way}")
+/// Explores the whole state space. Returns the number of states, and the first violation with the
+/// shortest trace to it.
+fn explore(scenario: Scenario) -> (usize, Option<String>) {
+    let checker = scenario.checker().threads(8).spawn_bfs().join();
+    let violation = checker.discovery("no rule is violated").map(|path| {
+        let why = path.last_state().violation.unwrap_or_default();
+        let trace = path.into_actions().into_iter().map(|event| format!("{event:?}\n")).collect::<String>();
+        format!("{why}:\n{trace}")
     });
-    assert!(checker.discovery("something is answered").is_some());
-    if wrong.is_none() {
-        assert!(checker.discovery("a second epoch answers").is_some());
+    assert!(checker.discovery("a configuration is confirmed").is_some());
+    if violation.is_none() {
+        assert!(checker.discovery("a second epoch has a primary").is_some());
     }
-    println!("{core:?}: {} states", checker.unique_state_count());
-    (checker.unique_state_count(), wrong)
+    println!("{scenario:?}: {} states", checker.unique_state_count());
+    (checker.unique_state_count(), violation)
 }
 
-const CORE: Core = Core {
-    broken: Broken::Nothing,
-    late: None,
-    start: Start::Led,
+const BASE: Scenario = Scenario {
+    mutation: Mutation::None,
+    slow_disk: None,
+    start: Start::HasPrimary,
     markers: 3,
     founders: 3,
     losses: 1,
     changes: 0,
-    begin: &[0, 1, 2],
+    initiators: &[0, 1, 2],
     rounds: 3,
     versions: 2,
-    overtaken: 0,
-    powers: 1,
+    superseded: 0,
+    power_losses: 1,
     wipes: 0,
     reads: false,
 };
 
-/// The same with one more that waits outside.
-const FOUR: Core = Core { markers: 4, powers: 0, ..CORE };
-/// It takes the place of a member that is missed, and lives.
-const CHANGING: Start = Start::Changing(Change::InPlaceOf(2));
+/// The same with a fourth marker that waits outside.
+const FOUR_MARKERS: Scenario = Scenario { markers: 4, power_losses: 0, ..BASE };
+/// The fourth marker replaces a member that is considered lost but is alive.
+const CHANGING: Start = Start::ChangingCore(Change::Replace(2));
 
 #[test]
-fn every_rule_is_kept_in_every_order() {
-    for (core, least) in [
-        // Power is lost, two take over, somebody reads.
-        (Core { reads: true, ..CORE }, 300_000),
-        // All three begin from nothing; two win their first ballots.
-        (Core { start: Start::Nothing, versions: 1, powers: 0, ..CORE }, 100_000),
-        // The disk of the primary, then of its backup, is late.
-        (Core { late: Some(0), ..CORE }, 400_000),
-        (Core { late: Some(1), ..CORE }, 800_000),
-        // A folder is lost, and power.
-        (Core { wipes: 1, ..CORE }, 2_000_000),
-        // A fourth marker takes a place, or one more; the next change is begun by another.
-        (Core { rounds: 3, changes: 1, versions: 1, begin: &[0, 1], ..FOUR }, 140_000),
-        // A change is kept by few, power is lost by the one that takes over, its disk is late.
+fn no_rule_is_violated_in_any_order_of_events() {
+    for (scenario, least) in [
+        // A power loss, two takeovers and a read.
+        (Scenario { reads: true, ..BASE }, 300_000),
+        // All three start from empty state, and two win their first rounds.
+        (Scenario { start: Start::Empty, versions: 1, power_losses: 0, ..BASE }, 100_000),
+        // The disk of the primary, then that of its backup, is slow.
+        (Scenario { slow_disk: Some(0), ..BASE }, 400_000),
+        (Scenario { slow_disk: Some(1), ..BASE }, 800_000),
+        // A data directory is lost, and there is a power loss.
+        (Scenario { wipes: 1, ..BASE }, 2_000_000),
+        // A fourth marker replaces a member or is added; another marker starts the next change.
+        (Scenario { rounds: 3, changes: 1, versions: 1, initiators: &[0, 1], ..FOUR_MARKERS }, 140_000),
+        // Few markers have accepted a change; the marker that takes over loses power, and its disk
+        // is slow.
         (
-            Core { start: CHANGING, rounds: 3, versions: 1, begin: &[1], powers: 1, late: Some(1), ..FOUR },
+            Scenario {
+                start: CHANGING,
+                rounds: 3,
+                versions: 1,
+                initiators: &[1],
+                power_losses: 1,
+                slow_disk: Some(1),
+                ..FOUR_MARKERS
+            },
             700_000,
         ),
-        // Five, two losses to be borne: any two as backups.
+        // Five markers, two losses to tolerate, any two as backups.
         (
-            Core {
+            Scenario {
                 markers: 5,
                 founders: 5,
                 losses: 2,
                 rounds: 2,
                 versions: 1,
-                begin: &[1],
-                powers: 0,
-                ..CORE
+                initiators: &[1],
+                power_losses: 0,
+                ..BASE
             },
             7_000,
         ),
-        // Two contents under one number that was overtaken.
-        (Core { versions: 1, overtaken: 2, ..CORE }, 100_000),
+        // Two contents under one version that is already superseded.
+        (Scenario { versions: 1, superseded: 2, ..BASE }, 100_000),
     ] {
-        let (states, wrong) = explore(core);
-        assert_eq!(wrong, None, "{core:?}");
-        assert!(states > least, "{core:?}: only {states} states");
+        let (states, violation) = explore(scenario);
+        assert_eq!(violation, None, "{scenario:?}");
+        assert!(states > least, "{scenario:?}: only {states} states");
     }
 }
 
 #[test]
-fn each_rule_is_needed() {
-    for core in [
-        Core { broken: Broken::AnswersEarly, ..CORE },
-        Core { broken: Broken::ForgetsPromises, ..CORE },
-        Core { broken: Broken::KeepsItsName, wipes: 1, ..CORE },
-        Core { broken: Broken::ReadsAtOnce, reads: true, ..CORE },
-        Core { broken: Broken::CopiesAgain, ..CORE },
-        Core { broken: Broken::KeptByOne, ..CORE },
-        Core { broken: Broken::AnybodyLeads, ..CORE },
-        Core { broken: Broken::LeavesBehind, start: CHANGING, versions: 1, begin: &[0, 1], ..FOUR },
-        Core { broken: Broken::CopiesNoLedger, overtaken: 2, ..CORE },
-        Core { broken: Broken::AsksEarly, late: Some(0), begin: &[0], rounds: 4, ..CORE },
+fn breaking_any_single_rule_is_detected() {
+    for scenario in [
+        Scenario { mutation: Mutation::ConfirmsBeforeReplication, ..BASE },
+        Scenario { mutation: Mutation::LosesPromises, ..BASE },
+        Scenario { mutation: Mutation::KeepsIdentity, wipes: 1, ..BASE },
+        Scenario { mutation: Mutation::ReadsWithoutCheck, reads: true, ..BASE },
+        Scenario { mutation: Mutation::AppliesRepeatedCopy, ..BASE },
+        Scenario { mutation: Mutation::AcceptedByOne, ..BASE },
+        Scenario { mutation: Mutation::AnyMarkerWins, ..BASE },
+        Scenario {
+            mutation: Mutation::DropsPreviousCore,
+            start: CHANGING,
+            versions: 1,
+            initiators: &[0, 1],
+            ..FOUR_MARKERS
+        },
+        Scenario { mutation: Mutation::CopiesWithoutLedger, superseded: 2, ..BASE },
+        Scenario {
+            mutation: Mutation::PreparesBeforeWrite,
+            slow_disk: Some(0),
+            initiators: &[0],
+            rounds: 4,
+            ..BASE
+        },
     ] {
-        let (_, wrong) = explore(core);
-        assert!(wrong.is_some(), "{core:?} breaks nothing");
+        let (_, violation) = explore(scenario);
+        assert!(violation.is_some(), "{scenario:?}: the checker found no violation");
     }
 }
