--- a/crates/marker/src/agreement.rs
+++ b/crates/marker/src/agreement.rs
@@ -27,9 +27,9 @@
 //! an epoch includes it.
 
 use crate::parts::Keeping;
-use granitelead_control_protocol::ledger::Known;
-use granitelead_control_protocol::words::{
-    Between, Change, Digest, Document, Epoch, Ledger, Node, Number, Whole,
+use granitelead_control_protocol::ledger::VersionState;
+use granitelead_control_protocol::messages::{
+    Change, Digest, Document, Epoch, Ledger, Node, PeerMessage, ProposalNumber, Snapshot,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -43,15 +43,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AfterWrite {
     /// Answer a prepare request: recipient and round.
-    SendPromise(Ipv4Addr, Number),
+    SendPromise(Ipv4Addr, ProposalNumber),
     /// Acknowledge a copy of the full state: recipient and round.
-    SendCopied(Ipv4Addr, Number),
+    SendCopied(Ipv4Addr, ProposalNumber),
     /// Acknowledge that an epoch was accepted: recipient and its number.
-    SendAccepted(Ipv4Addr, Number),
+    SendAccepted(Ipv4Addr, ProposalNumber),
     /// Acknowledge replicated changes: recipient, epoch and the highest version among them.
-    SendReplicated(Ipv4Addr, Number, u32),
+    SendReplicated(Ipv4Addr, ProposalNumber, u32),
     /// Send prepare requests for the round that was promised locally.
-    SendPrepare(Number),
+    SendPrepare(ProposalNumber),
     /// No action.
     Nothing,
 }
@@ -60,14 +60,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a message to another marker.
-    Send(Ipv4Addr, Between),
+    Send(Ipv4Addr, PeerMessage),
     /// Write the persistent state to disk, then pass the value to [`Agreement::on_written`].
     Persist(AfterWrite),
     /// A majority has promised this round: choose the epoch to follow `newest`, with
     /// [`Agreement::choose_epoch`].
     ChooseEpoch {
         /// The number of the round.
-        number: Number,
+        number: ProposalNumber,
         /// The newest epoch that any of the promising markers has accepted.
         newest: Epoch,
         /// The markers that promised this round.
@@ -78,9 +78,9 @@
     /// The round was abandoned.
     RoundFailed,
     /// This marker has become primary.
-    BecamePrimary(Number),
+    BecamePrimary(ProposalNumber),
     /// This marker has stopped being primary.
-    SteppedDown(Number),
+    SteppedDown(ProposalNumber),
     /// This configuration is committed: the tolerated losses can't remove it any more.
     Committed(Arc<Document>),
     /// These versions and their contents are committed; exactly these changes are confirmed to
@@ -136,7 +136,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Round {
-    number: Number,
+    number: ProposalNumber,
     step: Step,
     contacted: BTreeSet<Node>,
     /// The epoch that the new one follows, once it is known.
@@ -145,7 +145,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PrimaryState {
-    number: Number,
+    number: ProposalNumber,
     backups: Vec<Node>,
     /// The changes being replicated, and the markers that have stored them.
     replicating: Option<(ChangeBatch, BTreeSet<Node>)>,
@@ -157,8 +157,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Agreement {
     me: Node,
-    promised: Number,
-    last_copied: Number,
+    promised: ProposalNumber,
+    last_copied: ProposalNumber,
     epoch: Option<Epoch>,
     document: Option<Arc<Document>>,
     ledger: Arc<Ledger>,
@@ -167,8 +167,8 @@
     round: Option<Round>,
     primary_state: Option<PrimaryState>,
     /// The number of an epoch that changed the core and is known to be accepted by both majorities.
-    accepted_core_change: Option<Number>,
-    inbox: VecDeque<Between>,
+    accepted_core_change: Option<ProposalNumber>,
+    inbox: VecDeque<PeerMessage>,
 }
 
 /// Whether more than half of the nodes satisfy the predicate.
@@ -226,7 +226,7 @@
     }
 
     /// This marker accepts no epoch below this number.
-    pub fn promised(&self) -> Number {
+    pub fn promised(&self) -> ProposalNumber {
         self.promised
     }
 
@@ -247,7 +247,7 @@
     }
 
     /// The epoch in which this marker is primary, and its backups; `None` if it is not primary.
-    pub fn leadership(&self) -> Option<(Number, &[Node])> {
+    pub fn leadership(&self) -> Option<(ProposalNumber, &[Node])> {
         self.primary_state.as_ref().map(|primary| (primary.number, primary.backups.as_slice()))
     }
 
@@ -268,7 +268,7 @@
     }
 
     /// The number of the round in progress that this marker started.
-    pub fn round_in_progress(&self) -> Option<Number> {
+    pub fn round_in_progress(&self) -> Option<ProposalNumber> {
         self.round.as_ref().map(|round| round.number)
     }
 
@@ -287,7 +287,7 @@
         self.highest_round = self.highest_round.max(round);
     }
 
-    fn send(&mut self, to: Ipv4Addr, message: Between, effects: &mut Vec<Effect>) {
+    fn send(&mut self, to: Ipv4Addr, message: PeerMessage, effects: &mut Vec<Effect>) {
         if to == self.me.ip {
             self.inbox.push_back(message);
         } else {
@@ -308,13 +308,17 @@
             AfterWrite::SendPromise(to, number) => {
                 // A promise that was superseded by a higher one is useless to its recipient.
                 if number == self.promised {
-                    self.send(to, Between::Promise(number, self.epoch.clone()), effects);
+                    self.send(to, PeerMessage::Promise(number, self.epoch.clone()), effects);
                 }
             }
-            AfterWrite::SendCopied(to, number) => self.send(to, Between::Copied(number), effects),
-            AfterWrite::SendAccepted(to, number) => self.send(to, Between::Kept(number), effects),
+            AfterWrite::SendCopied(to, number) => {
+                self.send(to, PeerMessage::SnapshotInstalled(number), effects)
+            }
+            AfterWrite::SendAccepted(to, number) => {
+                self.send(to, PeerMessage::EpochAccepted(number), effects)
+            }
             AfterWrite::SendReplicated(to, number, version) => {
-                self.send(to, Between::Held(number, version), effects)
+                self.send(to, PeerMessage::Replicated(number, version), effects)
             }
             AfterWrite::SendPrepare(number) => self.send_prepares(number, effects),
             AfterWrite::Nothing => {}
@@ -323,27 +327,27 @@
     }
 
     /// Handles a message from another marker.
-    pub fn on_message(&mut self, from: Node, message: Between, effects: &mut Vec<Effect>) {
+    pub fn on_message(&mut self, from: Node, message: PeerMessage, effects: &mut Vec<Effect>) {
         self.handle(from, message, effects);
         self.process_inbox(effects);
     }
 
-    fn handle(&mut self, from: Node, message: Between, effects: &mut Vec<Effect>) {
+    fn handle(&mut self, from: Node, message: PeerMessage, effects: &mut Vec<Effect>) {
         let requested = match &message {
-            Between::Prepare(number) | Between::Copy(number, _) => Some(*number),
-            Between::Keep(epoch) => Some(epoch.number),
+            PeerMessage::Prepare(number) | PeerMessage::InstallSnapshot(number, _) => Some(*number),
+            PeerMessage::AcceptEpoch(epoch) => Some(epoch.number),
             _ => None,
         };
         if requested.is_some_and(|number| !self.check_number(from, number, effects)) {
             return;
         }
         match message {
-            Between::Prepare(number) => {
+            PeerMessage::Prepare(number) => {
                 self.promised = number;
                 effects.push(Effect::Persist(AfterWrite::SendPromise(from.ip, number)));
             }
-            Between::Promise(number, epoch) => self.on_promise(from, number, epoch, effects),
-            Between::Copy(number, Whole { document, ledger }) => {
+            PeerMessage::Promise(number, epoch) => self.on_promise(from, number, epoch, effects),
+            PeerMessage::InstallSnapshot(number, Snapshot { document, ledger }) => {
                 // A repeated copy of the same round may be older than changes stored since.
                 if number > self.last_copied {
                     (self.document, self.ledger) = (document.map(Arc::new), Arc::new(ledger));
@@ -351,34 +355,36 @@
                 (self.promised, self.last_copied) = (number, number);
                 effects.push(Effect::Persist(AfterWrite::SendCopied(from.ip, number)));
             }
-            Between::Copied(number) => self.on_copied(from, number, effects),
-            Between::Keep(epoch) => {
+            PeerMessage::SnapshotInstalled(number) => self.on_copied(from, number, effects),
+            PeerMessage::AcceptEpoch(epoch) => {
                 let number = epoch.number;
                 (self.promised, self.epoch) = (number, Some(epoch));
                 effects.push(Effect::Persist(AfterWrite::SendAccepted(from.ip, number)));
             }
-            Between::Kept(number) => self.on_accepted(from, number, effects),
-            Between::Over(number) => {
+            PeerMessage::EpochAccepted(number) => self.on_accepted(from, number, effects),
+            PeerMessage::Superseded(number) => {
                 self.observe_round(number.round);
                 self.yield_to(number, effects);
             }
-            Between::Hold(number, Change { document, entries }) => {
+            PeerMessage::Replicate(number, Change { document, entries }) => {
                 if number != self.promised {
-                    return self.send(from.ip, Between::Over(self.promised), effects);
+                    return self.send(from.ip, PeerMessage::Superseded(self.promised), effects);
                 }
                 let changes = ChangeBatch { document: document.map(Arc::new), entries };
                 let Some(highest) = changes.highest() else { return };
                 self.apply(changes);
                 effects.push(Effect::Persist(AfterWrite::SendReplicated(from.ip, number, highest)));
             }
-            Between::Held(number, version) => self.on_replicated(from, number, version, effects),
-            Between::Check(number, nonce) if number == self.promised => {
-                self.send(from.ip, Between::Checked(number, nonce), effects);
+            PeerMessage::Replicated(number, version) => self.on_replicated(from, number, version, effects),
+            PeerMessage::ConfirmEpoch(number, nonce) if number == self.promised => {
+                self.send(from.ip, PeerMessage::EpochConfirmed(number, nonce), effects);
             }
-            Between::Check(..) => self.send(from.ip, Between::Over(self.promised), effects),
-            Between::Checked(number, nonce) => self.on_checked(from, number, nonce, effects),
-            Between::Sure(document) => self.learn_committed(Arc::new(document), effects),
-            Between::Latest(epoch) => {
+            PeerMessage::ConfirmEpoch(..) => {
+                self.send(from.ip, PeerMessage::Superseded(self.promised), effects)
+            }
+            PeerMessage::EpochConfirmed(number, nonce) => self.on_checked(from, number, nonce, effects),
+            PeerMessage::Committed(document) => self.learn_committed(Arc::new(document), effects),
+            PeerMessage::LatestEpoch(epoch) => {
                 let newer = self.epoch.as_ref().is_none_or(|e| e.number < epoch.number);
                 if newer && epoch.number >= self.promised {
                     self.observe_round(epoch.number.round);
@@ -393,10 +399,10 @@
     }
 
     /// Whether no higher number has been promised; otherwise tells the sender the promised number.
-    fn check_number(&mut self, from: Node, number: Number, effects: &mut Vec<Effect>) -> bool {
+    fn check_number(&mut self, from: Node, number: ProposalNumber, effects: &mut Vec<Effect>) -> bool {
         self.observe_round(number.round);
         if number < self.promised {
-            self.send(from.ip, Between::Over(self.promised), effects);
+            self.send(from.ip, PeerMessage::Superseded(self.promised), effects);
             return false;
         }
         self.yield_to(number, effects);
@@ -404,7 +410,7 @@
     }
 
     /// Steps down and abandons the round in progress where their numbers are lower than this one.
-    fn yield_to(&mut self, number: Number, effects: &mut Vec<Effect>) {
+    fn yield_to(&mut self, number: ProposalNumber, effects: &mut Vec<Effect>) {
         if self.primary_state.as_ref().is_some_and(|primary| primary.number < number) {
             self.step_down(effects);
         }
@@ -429,10 +435,13 @@
 
     /// Starts a round and steps down as primary. Returns its number, or `None` where no epoch has
     /// been accepted here.
-    pub fn begin_round(&mut self, effects: &mut Vec<Effect>) -> Option<Number> {
+    pub fn begin_round(&mut self, effects: &mut Vec<Effect>) -> Option<ProposalNumber> {
         let epoch = self.epoch.as_ref()?;
-        let contacted = epoch.core.iter().chain(&epoch.before).copied().collect();
-        let number = Number { round: self.highest_round.max(self.promised.round) + 1, by: self.me.folder };
+        let contacted = epoch.core.iter().chain(&epoch.previous_core).copied().collect();
+        let number = ProposalNumber {
+            round: self.highest_round.max(self.promised.round) + 1,
+            proposer: self.me.replica_id,
+        };
         self.observe_round(number.round);
         self.step_down(effects);
         self.promised = number;
@@ -442,7 +451,7 @@
         Some(number)
     }
 
-    fn send_prepares(&mut self, number: Number, effects: &mut Vec<Effect>) {
+    fn send_prepares(&mut self, number: ProposalNumber, effects: &mut Vec<Effect>) {
         let Some(round) = self.round.as_mut().filter(|r| r.number == number) else { return };
         if round.step != Step::PersistingPromise {
             return;
@@ -450,12 +459,18 @@
         round.step = Step::Preparing(BTreeMap::new());
         let others: Vec<Node> = round.contacted.iter().filter(|n| **n != self.me).copied().collect();
         for node in others {
-            self.send(node.ip, Between::Prepare(number), effects);
+            self.send(node.ip, PeerMessage::Prepare(number), effects);
         }
         self.on_promise(self.me, number, self.epoch.clone(), effects);
     }
 
-    fn on_promise(&mut self, from: Node, number: Number, epoch: Option<Epoch>, effects: &mut Vec<Effect>) {
+    fn on_promise(
+        &mut self,
+        from: Node,
+        number: ProposalNumber,
+        epoch: Option<Epoch>,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(round) = self.round.as_mut().filter(|r| r.number == number) else { return };
         let Step::Preparing(promises) = &mut round.step else { return };
         promises.insert(from, epoch);
@@ -464,16 +479,16 @@
         let more: Vec<Node> = newest
             .core
             .iter()
-            .chain(&newest.before)
+            .chain(&newest.previous_core)
             .copied()
             .filter(|n| !round.contacted.contains(n))
             .collect();
         let promised = |node: &Node| promises.contains_key(node);
-        let enough = most(&newest.core, promised) && most(&newest.before, promised);
+        let enough = most(&newest.core, promised) && most(&newest.previous_core, promised);
         let willing: BTreeSet<Node> = promises.keys().copied().collect();
         round.contacted.extend(more.iter().copied());
         for node in more {
-            self.send(node.ip, Between::Prepare(number), effects);
+            self.send(node.ip, PeerMessage::Prepare(number), effects);
         }
         if !enough {
             return;
@@ -494,7 +509,7 @@
     pub fn choose_epoch(&mut self, mut next: Epoch, effects: &mut Vec<Effect>) {
         let Some(round) = self.round.as_mut().filter(|r| r.number == next.number) else { return };
         let Some(newest) = round.newest.take() else { return };
-        let settled = newest.core == newest.before;
+        let settled = newest.core == newest.previous_core;
         let missing = newest.core.iter().filter(|node| !next.core.contains(node)).count();
         let new = next.core.iter().filter(|node| !newest.core.contains(node)).count();
         if missing > 1 || new > 1 || (missing + new > 0 && !settled) {
@@ -502,12 +517,12 @@
         }
         // A change that only few markers have accepted may be unknown to the previous core.
         let previous_core_done = settled || self.accepted_core_change == Some(newest.number);
-        next.before = if previous_core_done { newest.core } else { newest.before };
+        next.previous_core = if previous_core_done { newest.core } else { newest.previous_core };
         round.step = Step::Copying(next.clone(), BTreeSet::new());
         effects.push(Effect::PhaseAdvanced);
         let state = self.full_state();
         for node in &next.backups {
-            self.send(node.ip, Between::Copy(next.number, state.clone()), effects);
+            self.send(node.ip, PeerMessage::InstallSnapshot(next.number, state.clone()), effects);
         }
         if next.backups.is_empty() {
             self.on_all_copied(effects);
@@ -515,11 +530,11 @@
         self.process_inbox(effects);
     }
 
-    fn full_state(&self) -> Whole {
-        Whole { document: self.document.as_deref().cloned(), ledger: Ledger::clone(&self.ledger) }
+    fn full_state(&self) -> Snapshot {
+        Snapshot { document: self.document.as_deref().cloned(), ledger: Ledger::clone(&self.ledger) }
     }
 
-    fn on_copied(&mut self, from: Node, number: Number, effects: &mut Vec<Effect>) {
+    fn on_copied(&mut self, from: Node, number: ProposalNumber, effects: &mut Vec<Effect>) {
         let Some(round) = self.round.as_mut().filter(|r| r.number == number) else { return };
         let Step::Copying(epoch, copied) = &mut round.step else { return };
         copied.insert(from);
@@ -534,22 +549,22 @@
         let epoch = epoch.clone();
         round.step = Step::Accepting(epoch.clone(), BTreeSet::new());
         effects.push(Effect::PhaseAdvanced);
-        let all: BTreeSet<Node> = epoch.core.iter().chain(&epoch.before).copied().collect();
+        let all: BTreeSet<Node> = epoch.core.iter().chain(&epoch.previous_core).copied().collect();
         for node in all {
-            self.send(node.ip, Between::Keep(epoch.clone()), effects);
+            self.send(node.ip, PeerMessage::AcceptEpoch(epoch.clone()), effects);
         }
     }
 
-    fn on_accepted(&mut self, from: Node, number: Number, effects: &mut Vec<Effect>) {
+    fn on_accepted(&mut self, from: Node, number: ProposalNumber, effects: &mut Vec<Effect>) {
         let Some(round) = self.round.as_mut().filter(|r| r.number == number) else { return };
         let Step::Accepting(epoch, accepted) = &mut round.step else { return };
         accepted.insert(from);
         let has_accepted = |node: &Node| accepted.contains(node);
-        if !(most(&epoch.core, has_accepted) && most(&epoch.before, has_accepted)) {
+        if !(most(&epoch.core, has_accepted) && most(&epoch.previous_core, has_accepted)) {
             return;
         }
         let backups = epoch.backups.clone();
-        self.accepted_core_change = Some(number).filter(|_| epoch.core != epoch.before);
+        self.accepted_core_change = Some(number).filter(|_| epoch.core != epoch.previous_core);
         self.round = None;
         self.primary_state =
             Some(PrimaryState { number, backups, replicating: None, checks: BTreeMap::new() });
@@ -574,7 +589,7 @@
     /// Applies changes to the local state: versions that are free, and a newer configuration.
     fn apply(&mut self, changes: ChangeBatch) {
         let ledger = Arc::make_mut(&mut self.ledger);
-        changes.entries.into_iter().for_each(|(version, digest)| ledger.enter(version, digest));
+        changes.entries.into_iter().for_each(|(version, digest)| ledger.record(version, digest));
         if let Some(document) = changes.document {
             if self.document.as_ref().is_none_or(|d| d.version < document.version) {
                 self.document = Some(document);
@@ -587,7 +602,7 @@
     /// ledger.
     pub fn replicate(&mut self, mut changes: ChangeBatch, effects: &mut Vec<Effect>) {
         let newest = self.document.as_ref().map(|d| d.version);
-        changes.entries.retain(|version, _| self.ledger.known(*version) == Known::Free);
+        changes.entries.retain(|version, _| self.ledger.lookup(*version) == VersionState::Free);
         let entries = &changes.entries;
         let newer = |d: &Arc<Document>| newest < Some(d.version) && entries.contains_key(&d.version);
         changes.document = changes.document.filter(newer);
@@ -599,14 +614,14 @@
         let (number, backups) = (primary_state.number, primary_state.backups.clone());
         primary_state.replicating = Some((changes.clone(), BTreeSet::new()));
         for node in backups {
-            self.send(node.ip, Between::Hold(number, changes.change()), effects);
+            self.send(node.ip, PeerMessage::Replicate(number, changes.change()), effects);
         }
         self.apply(changes);
         effects.push(Effect::Persist(AfterWrite::SendReplicated(self.me.ip, number, highest)));
         self.process_inbox(effects);
     }
 
-    fn on_replicated(&mut self, from: Node, number: Number, highest: u32, effects: &mut Vec<Effect>) {
+    fn on_replicated(&mut self, from: Node, number: ProposalNumber, highest: u32, effects: &mut Vec<Effect>) {
         let Some(primary_state) = self.primary_state.as_mut().filter(|primary| primary.number == number)
         else {
             return;
@@ -629,28 +644,30 @@
     /// Sends again the requests that have no answer: they may have been lost with a connection. All
     /// messages are idempotent.
     pub fn resend(&mut self, effects: &mut Vec<Effect>) {
-        let mut messages: Vec<(Ipv4Addr, Between)> = Vec::new();
+        let mut messages: Vec<(Ipv4Addr, PeerMessage)> = Vec::new();
         if let Some(Round { number, step, contacted, .. }) = &self.round {
             match step {
                 Step::PersistingPromise => {}
                 Step::Preparing(promises) => {
                     let left = contacted.iter().filter(|n| !promises.contains_key(n));
-                    messages.extend(left.map(|n| (n.ip, Between::Prepare(*number))));
+                    messages.extend(left.map(|n| (n.ip, PeerMessage::Prepare(*number))));
                 }
                 Step::Copying(..) => {
                     let left = self.uncopied_backups().into_iter();
-                    messages.extend(left.map(|n| (n.ip, Between::Copy(*number, self.full_state()))));
+                    messages.extend(
+                        left.map(|n| (n.ip, PeerMessage::InstallSnapshot(*number, self.full_state()))),
+                    );
                 }
                 Step::Accepting(epoch, accepted) => {
-                    let all: BTreeSet<&Node> = epoch.core.iter().chain(&epoch.before).collect();
+                    let all: BTreeSet<&Node> = epoch.core.iter().chain(&epoch.previous_core).collect();
                     let left = all.into_iter().filter(|n| !accepted.contains(n));
-                    messages.extend(left.map(|n| (n.ip, Between::Keep(epoch.clone()))));
+                    messages.extend(left.map(|n| (n.ip, PeerMessage::AcceptEpoch(epoch.clone()))));
                 }
             }
         }
         if let Some(PrimaryState { number, replicating: Some((changes, _)), .. }) = &self.primary_state {
             let late = self.unreplicated_backups().into_iter();
-            messages.extend(late.map(|n| (n.ip, Between::Hold(*number, changes.change()))));
+            messages.extend(late.map(|n| (n.ip, PeerMessage::Replicate(*number, changes.change()))));
         }
         // Messages to this marker itself are not lost; they wait for the disk.
         let me = self.me.ip;
@@ -675,12 +692,12 @@
             primary_state.checks.pop_first();
         }
         for node in left {
-            self.send(node.ip, Between::Check(number, nonce), effects);
+            self.send(node.ip, PeerMessage::ConfirmEpoch(number, nonce), effects);
         }
         self.process_inbox(effects);
     }
 
-    fn on_checked(&mut self, from: Node, number: Number, nonce: u64, effects: &mut Vec<Effect>) {
+    fn on_checked(&mut self, from: Node, number: ProposalNumber, nonce: u64, effects: &mut Vec<Effect>) {
         let Some(primary_state) = self.primary_state.as_mut().filter(|primary| primary.number == number)
         else {
             return;
--- a/crates/marker/src/core.rs
+++ b/crates/marker/src/core.rs
@@ -12,8 +12,8 @@
 use crate::agreement::{AfterWrite, Agreement, Effect};
 use crate::duties::Duties;
 use crate::parts::{Keeping, Millis, Output};
-use granitelead_control_protocol::words::{
-    Between, Digest, Document, Duty, Epoch, Ledger, Node, Number, Standing,
+use granitelead_control_protocol::messages::{
+    Digest, Document, Duty, Epoch, Ledger, MarkerStatus, Node, PeerMessage, ProposalNumber,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -79,7 +79,7 @@
     hears: Vec<Ipv4Addr>,
     committed: Option<u32>,
     committed_sent_at: Millis,
-    standing: Standing,
+    standing: MarkerStatus,
 }
 
 impl Peer {
@@ -92,7 +92,7 @@
             hears: Vec::new(),
             committed: None,
             committed_sent_at: 0,
-            standing: Standing::default(),
+            standing: MarkerStatus::default(),
         }
     }
 
@@ -132,8 +132,8 @@
 /// The action that follows once a write is on disk.
 enum WriteFollowUp {
     Agreement(AfterWrite),
-    Ballot(Duty, Number),
-    Vote(Ipv4Addr, Duty, Number),
+    Ballot(Duty, ProposalNumber),
+    Vote(Ipv4Addr, Duty, ProposalNumber),
 }
 
 /// A snapshot of the core's state for status reports and tests.
@@ -153,7 +153,7 @@
     /// How many rounds this marker has started, and how many it has won.
     pub rounds: (u64, u64),
     /// The known holder of each duty, and the number under which it holds it.
-    pub duties: Vec<(Duty, Option<(Node, Number)>)>,
+    pub duties: Vec<(Duty, Option<(Node, ProposalNumber)>)>,
     /// The size of the core and the number of copies that the configured losses require.
     pub needed: (usize, usize),
     /// What is missing to tolerate the configured losses, refreshed every 150 ms; see
@@ -169,7 +169,7 @@
     duties: Duties,
     seeds: Vec<Ipv4Addr>,
     losses: usize,
-    standing: Standing,
+    standing: MarkerStatus,
     rng: fastrand::Rng,
     now: Millis,
     started: Millis,
@@ -178,7 +178,7 @@
     last_outside_heartbeat: Millis,
     primary: Option<(Ipv4Addr, Millis)>,
     /// The highest epoch whose primary sent a heartbeat.
-    highest_led_epoch: Number,
+    highest_led_epoch: ProposalNumber,
     /// The shortages that were logged last.
     logged_shortages: Vec<String>,
     election_timeout: Millis,
@@ -205,11 +205,11 @@
 
 /// The identity of a founding member, derived from its address.
 fn founder(ip: Ipv4Addr) -> Node {
-    Node { ip, folder: u64::from(u32::from(ip)) }
+    Node { ip, replica_id: u64::from(u32::from(ip)) }
 }
 
 fn empty_state(node: Node) -> Keeping {
-    let zero = Number::default();
+    let zero = ProposalNumber::default();
     Keeping {
         node,
         promised: zero,
@@ -229,13 +229,18 @@
 /// identity is used twice.
 pub fn begin(ip: Ipv4Addr, seeds: &[Ipv4Addr], first_start: bool, drawn: u64) -> Keeping {
     if !(first_start && seeds.contains(&ip)) {
-        return empty_state(Node { ip, folder: drawn | 1 << 63 });
+        return empty_state(Node { ip, replica_id: drawn | 1 << 63 });
     }
     let mut core: Vec<Node> = seeds.iter().copied().map(founder).collect();
     core.sort();
     core.dedup();
-    let founding =
-        Epoch { number: Number::default(), before: core.clone(), backups: core.clone(), core, primary: None };
+    let founding = Epoch {
+        number: ProposalNumber::default(),
+        previous_core: core.clone(),
+        backups: core.clone(),
+        core,
+        primary: None,
+    };
     let (node, epoch) = (founder(ip), Some(founding));
     Keeping { epoch, ..empty_state(node) }
 }
@@ -258,7 +263,7 @@
             agreement: Agreement::new(state),
             seeds: seeds.to_vec(),
             losses,
-            standing: Standing::default(),
+            standing: MarkerStatus::default(),
             rng,
             now,
             started: now,
@@ -266,7 +271,7 @@
             last_heartbeat: 0,
             last_outside_heartbeat: 0,
             primary: None,
-            highest_led_epoch: Number::default(),
+            highest_led_epoch: ProposalNumber::default(),
             logged_shortages: Vec::new(),
             election_timeout,
             round_progressed_at: now,
@@ -291,7 +296,7 @@
 
     /// Sets the zone of this marker, and whether it has a disk.
     pub fn placed(mut self, zone: &str, disk: bool) -> Core {
-        self.standing = Standing { zone: zone.to_owned(), forgets: !disk, ..Standing::default() };
+        self.standing = MarkerStatus { zone: zone.to_owned(), is_volatile: !disk, ..MarkerStatus::default() };
         self
     }
 
@@ -312,7 +317,7 @@
             duties: self.duties.holders(self.now),
             needed: (self.core_needed(), self.losses + 1),
             short: self.logged_shortages.clone(),
-            leaves: self.standing.leaves,
+            leaves: self.standing.is_leaving,
         }
     }
 
@@ -322,12 +327,12 @@
     }
 
     /// The number under which this marker holds a duty, while it hears a majority of the core.
-    pub fn holds(&self, duty: Duty) -> Option<Number> {
+    pub fn holds(&self, duty: Duty) -> Option<ProposalNumber> {
         self.duties.held(duty).filter(|_| self.hears_majority())
     }
 
     /// Whether an action by the holder of a duty under this number is still valid.
-    pub fn allows(&mut self, duty: Duty, number: Number) -> bool {
+    pub fn allows(&mut self, duty: Duty, number: ProposalNumber) -> bool {
         self.duties.allows(duty, number)
     }
 
@@ -352,12 +357,12 @@
                     self.step_agreement(out, |a, effects| a.on_written(action, effects))
                 }
                 Some((_, WriteFollowUp::Vote(to, duty, number))) => {
-                    out.push(Output::Send(to, Between::Vote(duty, number)));
+                    out.push(Output::Send(to, PeerMessage::Vote(duty, number)));
                 }
                 Some((_, WriteFollowUp::Ballot(duty, number))) => {
                     let (me, core) = (self.me(), self.core_members());
                     for node in core.iter().filter(|node| **node != me) {
-                        out.push(Output::Send(node.ip, Between::Ballot(duty, number)));
+                        out.push(Output::Send(node.ip, PeerMessage::RequestVote(duty, number)));
                     }
                     self.duties.on_vote(self.now, me, duty, number, &core);
                 }
@@ -412,29 +417,37 @@
     }
 
     /// Handles a message from another marker.
-    pub fn on_word(&mut self, now: Millis, from: Node, message: Between, out: &mut Vec<Output>) {
+    pub fn on_word(&mut self, now: Millis, from: Node, message: PeerMessage, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match message {
-            Between::Hear { epoch, leads, led, sure, others, duties, standing } => {
+            PeerMessage::Heartbeat {
+                epoch,
+                is_primary,
+                has_primary,
+                committed,
+                reachable,
+                duties,
+                status,
+            } => {
                 self.duties.on_hear(self.now, from, &duties);
-                self.on_heartbeat(from, epoch, leads, led, sure, &others, standing, out);
+                self.on_heartbeat(from, epoch, is_primary, has_primary, committed, &reachable, status, out);
             }
-            Between::Ballot(duty, number) => {
+            PeerMessage::RequestVote(duty, number) => {
                 if self.core_members().contains(&from) && self.duties.on_ballot(self.now, from, duty, number)
                 {
                     self.persist(WriteFollowUp::Vote(from.ip, duty, number), out);
                 }
             }
-            Between::Vote(duty, number) => {
+            PeerMessage::Vote(duty, number) => {
                 let core = self.core_members();
                 self.duties.on_vote(self.now, from, duty, number, &core);
             }
-            Between::HandOver(number) => {
+            PeerMessage::HandOver(number) => {
                 let mine = |e: &Epoch| e.number == number && e.holds(self.me());
                 let mine = self.agreement.epoch().is_some_and(mine);
                 if mine
                     && self.agreement.round_in_progress().is_none()
-                    && !self.standing.leaves
+                    && !self.standing.is_leaving
                     && !self.is_outdated()
                 {
                     self.begin_round(out);
@@ -442,7 +455,7 @@
             }
             message => {
                 let prepare = match &message {
-                    Between::Prepare(number) => Some(*number),
+                    PeerMessage::Prepare(number) => Some(*number),
                     _ => None,
                 };
                 self.step_agreement(out, |a, effects| a.on_message(from, message, effects));
@@ -493,7 +506,7 @@
         } else if self.agreement.round_in_progress().is_none() {
             self.watch_as_follower(out);
         }
-        let eligible = self.core_members().contains(&self.me()) && !self.standing.leaves;
+        let eligible = self.core_members().contains(&self.me()) && !self.standing.is_leaving;
         for (duty, number) in self.duties.on_tick(now, eligible && self.hears_majority()) {
             self.persist(WriteFollowUp::Ballot(duty, number), out);
         }
--- a/crates/marker/src/core/heartbeats.rs
+++ b/crates/marker/src/core/heartbeats.rs
@@ -7,7 +7,7 @@
 };
 use crate::agreement::most;
 use crate::parts::{Millis, Output};
-use granitelead_control_protocol::words::{Between, Document, Node, Number, Standing};
+use granitelead_control_protocol::messages::{Document, MarkerStatus, Node, PeerMessage, ProposalNumber};
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
@@ -15,7 +15,7 @@
     /// The addresses of all other known markers.
     pub fn known(&self) -> BTreeSet<Ipv4Addr> {
         let core = self.agreement.epoch().into_iter();
-        let core = core.flat_map(|e| e.core.iter().chain(&e.before)).map(|node| node.ip);
+        let core = core.flat_map(|e| e.core.iter().chain(&e.previous_core)).map(|node| node.ip);
         let mut known: BTreeSet<Ipv4Addr> = core.chain(self.seeds.iter().copied()).collect();
         known.extend(self.peers.keys().copied());
         known.remove(&self.me().ip);
@@ -38,7 +38,7 @@
         let epoch = self.agreement.epoch().map(|e| e.number).unwrap_or_default();
         let (leads, led, others) = (self.agreement.leadership().is_some(), self.has_primary(), self.live());
         let sure = self.agreement.committed().map(|d| d.version);
-        let standing = Standing { group: self.group().into_iter().collect(), ..self.standing.clone() };
+        let standing = MarkerStatus { group: self.group().into_iter().collect(), ..self.standing.clone() };
         let all = self.now >= self.last_outside_heartbeat + OUTSIDE_HEARTBEAT_INTERVAL;
         if all {
             self.last_outside_heartbeat = self.now;
@@ -48,12 +48,23 @@
         let is_member = core.contains(&self.me());
         for ip in self.known().into_iter().filter(|ip| all || is_member && in_core(*ip)) {
             let (others, duties, standing) = (others.clone(), self.duties.mine(), standing.clone());
-            out.push(Output::Send(ip, Between::Hear { epoch, leads, led, sure, others, duties, standing }));
+            out.push(Output::Send(
+                ip,
+                PeerMessage::Heartbeat {
+                    epoch,
+                    is_primary: leads,
+                    has_primary: led,
+                    committed: sure,
+                    reachable: others,
+                    duties,
+                    status: standing,
+                },
+            ));
         }
     }
 
     /// The reported attributes of a marker; the defaults for one that has sent none.
-    pub(super) fn standing_of(&self, node: Node) -> Standing {
+    pub(super) fn standing_of(&self, node: Node) -> MarkerStatus {
         if node == self.me() {
             return self.standing.clone();
         }
@@ -111,12 +122,12 @@
     pub(super) fn on_heartbeat(
         &mut self,
         from: Node,
-        epoch: Number,
+        epoch: ProposalNumber,
         leads: bool,
         led: bool,
         sure: Option<u32>,
         others: &[Ipv4Addr],
-        standing: Standing,
+        standing: MarkerStatus,
         out: &mut Vec<Output>,
     ) {
         let (now, me) = (self.now, self.me());
@@ -146,7 +157,7 @@
         // Markers that others report are contacted too; they count as alive once they answer.
         for ip in others.iter().filter(|ip| **ip != me.ip) {
             if self.peers.len() < KNOWN_MAX {
-                let node = Node { ip: *ip, folder: 0 };
+                let node = Node { ip: *ip, replica_id: 0 };
                 self.peers.entry(*ip).or_insert_with(|| Peer::unheard(node));
             }
         }
@@ -162,7 +173,7 @@
         }
         let is_primary = self.agreement.leadership().is_some();
         if let Some(epoch) = self.agreement.epoch().filter(|_| is_primary && epoch < mine) {
-            out.push(Output::Send(from.ip, Between::Latest(epoch.clone())));
+            out.push(Output::Send(from.ip, PeerMessage::LatestEpoch(epoch.clone())));
         }
         let behind = self
             .agreement
@@ -176,7 +187,7 @@
                 .filter(|peer| now >= peer.committed_sent_at + 2 * HEARTBEAT_INTERVAL)
             {
                 peer.committed_sent_at = now;
-                out.push(Output::Send(from.ip, Between::Sure(Document::clone(&document))));
+                out.push(Output::Send(from.ip, PeerMessage::Committed(Document::clone(&document))));
             }
         }
     }
--- a/crates/marker/src/core/operator_calls.rs
+++ b/crates/marker/src/core/operator_calls.rs
@@ -9,9 +9,9 @@
 use super::{Core, PendingCall, Request, CALLS_MAX, CALL_TIMEOUT, HEARTBEAT_TIMEOUT};
 use crate::agreement::{ChangeBatch, Effect};
 use crate::parts::{Millis, Output, Reply};
-use granitelead_common::kinds::Kind;
-use granitelead_control_protocol::ledger::Known;
-use granitelead_control_protocol::words::{Between, Digest, Document};
+use granitelead_common::error_kinds::ErrorKind;
+use granitelead_control_protocol::ledger::VersionState;
+use granitelead_control_protocol::messages::{Digest, Document, PeerMessage};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
     pub(super) fn on_committed(&mut self, document: Arc<Document>, out: &mut Vec<Output>) {
         if self.agreement.leadership().is_some() {
             for ip in self.live() {
-                out.push(Output::Send(ip, Between::Sure(Document::clone(&document))));
+                out.push(Output::Send(ip, PeerMessage::Committed(Document::clone(&document))));
             }
         }
         out.push(Output::Sure(document.clone()));
@@ -49,7 +49,7 @@
         let reply = match &call.request {
             Request::Read { .. } => match self.agreement.committed() {
                 Some(document) => Reply::document(document.clone()),
-                None => Reply::fault(Kind::Unknown, "no configuration has been set yet"),
+                None => Reply::fault(ErrorKind::Unknown, "no configuration has been set yet"),
             },
             Request::Replace { document, digest, .. } => self.reply_from_ledger(document.version, *digest),
         };
@@ -58,16 +58,16 @@
 
     /// The answer to a change whose version was not free when its check began.
     fn reply_from_ledger(&mut self, version: u32, digest: Digest) -> Reply {
-        match self.agreement.ledger().known(version) {
-            Known::Content(held) if held == digest => Reply::done(),
-            Known::Content(held) => {
+        match self.agreement.ledger().lookup(version) {
+            VersionState::Content(held) if held == digest => Reply::done(),
+            VersionState::Content(held) => {
                 self.refused += 1;
                 log::info!("refused content {digest} for version {version:08x}, which has content {held}");
                 let what =
                     format!("version {version:08x} already has content {held}, and this content is {digest}");
-                Reply::fault(Kind::Conflict, what)
+                Reply::fault(ErrorKind::Conflict, what)
             }
-            Known::Forgotten | Known::Free => forgotten_version(version),
+            VersionState::Forgotten | VersionState::Free => forgotten_version(version),
         }
     }
 
@@ -104,11 +104,12 @@
     pub(super) fn on_call(&mut self, now: Millis, id: u64, request: Request, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         if self.calls.len() >= CALLS_MAX {
-            return out.push(Output::Answer(id, Reply::fault(Kind::NoRoom, "too many calls are waiting")));
+            return out
+                .push(Output::Answer(id, Reply::fault(ErrorKind::Overloaded, "too many calls are waiting")));
         }
-        if self.standing.leaves && self.agreement.leadership().is_none() {
+        if self.standing.is_leaving && self.agreement.leadership().is_none() {
             return out
-                .push(Output::Answer(id, Reply::fault(Kind::NotReady, "this marker is shutting down")));
+                .push(Output::Answer(id, Reply::fault(ErrorKind::NotReady, "this marker is shutting down")));
         }
         self.calls.push(PendingCall { id, request, deadline: self.now + CALL_TIMEOUT });
         self.process_calls(out);
@@ -121,7 +122,7 @@
             if expired {
                 out.push(Output::Answer(
                     call.id,
-                    Reply::fault(Kind::Uncertain, "the result could not be confirmed in time"),
+                    Reply::fault(ErrorKind::Uncertain, "the result could not be confirmed in time"),
                 ));
             }
             !expired
@@ -143,14 +144,14 @@
             let Request::Replace { document, digest, nonce: nonce @ None } = &mut call.request else {
                 continue;
             };
-            match self.agreement.ledger().known(document.version) {
-                Known::Free => changes.add(document, *digest),
-                Known::Content(_) => {
+            match self.agreement.ledger().lookup(document.version) {
+                VersionState::Free => changes.add(document, *digest),
+                VersionState::Content(_) => {
                     self.last_nonce += 1;
                     *nonce = Some(self.last_nonce);
                     checks.push(self.last_nonce);
                 }
-                Known::Forgotten => forgotten.push((call.id, document.version)),
+                VersionState::Forgotten => forgotten.push((call.id, document.version)),
             }
         }
         for (id, version) in forgotten {
@@ -183,7 +184,7 @@
 /// An uncertain answer: the ledger no longer knows which content the version holds.
 fn forgotten_version(version: u32) -> Reply {
     Reply::fault(
-        Kind::Uncertain,
+        ErrorKind::Uncertain,
         format!("version {version:08x} is too old: its content is no longer recorded"),
     )
 }
--- a/crates/marker/src/core/quota_group.rs
+++ b/crates/marker/src/core/quota_group.rs
@@ -63,7 +63,7 @@
     pub fn all_count_together(&self, counts_with: &BTreeSet<Ipv4Addr>) -> bool {
         let Some(epoch) = self.agreement.epoch() else { return false };
         let core = epoch.core.iter().map(|node| node.ip);
-        let staying = |peer: &&Peer| peer.last_heard.is_some() && !peer.standing.leaves;
+        let staying = |peer: &&Peer| peer.last_heard.is_some() && !peer.standing.is_leaving;
         let others = self.peers.values().filter(staying).map(|peer| peer.node.ip);
         core.chain(others).all(|ip| ip == self.me().ip || counts_with.contains(&ip))
     }
--- a/crates/marker/src/core/rounds.rs
+++ b/crates/marker/src/core/rounds.rs
@@ -8,7 +8,7 @@
 };
 use crate::agreement::{most, Agreement};
 use crate::parts::{Millis, Output};
-use granitelead_control_protocol::words::{Between, Epoch, Node, Number, Standing};
+use granitelead_control_protocol::messages::{Epoch, MarkerStatus, Node, PeerMessage, ProposalNumber};
 use std::collections::BTreeSet;
 
 impl Core {
@@ -32,7 +32,7 @@
     /// The next epoch, or `None` if too few markers can act as backups.
     pub(super) fn next_epoch(
         &self,
-        number: Number,
+        number: ProposalNumber,
         newest: &Epoch,
         willing: &BTreeSet<Node>,
     ) -> Option<Epoch> {
@@ -45,14 +45,14 @@
         let is_slow = |node: &Node| self.slow_until.get(&node.ip).is_some_and(|until| self.now < *until);
         // A marker that is shutting down becomes a backup only where too few others can; if it then
         // exits early, it reports the version that only it may store ([`Core::held_alone`]).
-        let stays = |node: &Node| !self.standing_of(*node).leaves;
+        let stays = |node: &Node| !self.standing_of(*node).is_leaving;
         if backups.iter().filter(|node| stays(node)).count() >= wanted {
             backups.retain(stays);
         }
         // Among equally suitable markers, prefer zones without a copy, then markers that already
         // store the state.
         let rank = |node: &Node| {
-            (!stays(node), is_slow(node), !self.is_alive(*node), self.standing_of(*node).forgets)
+            (!stays(node), is_slow(node), !self.is_alive(*node), self.standing_of(*node).is_volatile)
         };
         let mut zones = vec![self.standing.zone.clone()];
         for place in 0..wanted.min(backups.len()) {
@@ -66,7 +66,7 @@
         (backups.len() == wanted).then(|| Epoch {
             number,
             core,
-            before: newest.core.clone(),
+            previous_core: newest.core.clone(),
             primary,
             backups,
         })
@@ -83,29 +83,31 @@
     pub(super) fn next_core(&self, newest: &Epoch) -> Vec<Node> {
         let mut core = newest.core.clone();
         // One change at a time, and only once the previous one has settled.
-        if newest.core != newest.before {
+        if newest.core != newest.previous_core {
             return core;
         }
         let outside =
             self.peers.values().filter(|peer| peer.is_alive(self.now) && !newest.core.contains(&peer.node));
-        let mut outside: Vec<(Node, &Standing)> = outside.map(|peer| (peer.node, &peer.standing)).collect();
+        let mut outside: Vec<(Node, &MarkerStatus)> =
+            outside.map(|peer| (peer.node, &peer.standing)).collect();
         let members = |zone: &str| core.iter().filter(|node| self.standing_of(**node).zone == zone).count();
         // Preference order: a marker that replaces its own earlier identity, then one with a disk,
         // then one from the zone with the fewest members.
         outside.sort_by_key(|(node, standing)| {
             let back = core.iter().any(|other| other.ip == node.ip);
-            (standing.leaves, !back, standing.forgets, members(&standing.zone), *node)
+            (standing.is_leaving, !back, standing.is_volatile, members(&standing.zone), *node)
         });
-        let Some((node, standing)) = outside.first().filter(|(_, standing)| !standing.leaves) else {
+        let Some((node, standing)) = outside.first().filter(|(_, standing)| !standing.is_leaving) else {
             return core;
         };
-        let patience = if standing.forgets { DISKLESS_REPLACEMENT_DELAY } else { MEMBER_REPLACEMENT_DELAY };
+        let patience =
+            if standing.is_volatile { DISKLESS_REPLACEMENT_DELAY } else { MEMBER_REPLACEMENT_DELAY };
         let silent = |other: &Node| self.silent_ms(*other) > patience;
-        let forgets = |other: &Node| *other != self.me() && self.standing_of(*other).forgets;
+        let forgets = |other: &Node| *other != self.me() && self.standing_of(*other).is_volatile;
         let place = core.iter().position(|other| other.ip == node.ip);
         let place = place.or_else(|| core.iter().position(silent));
-        let place = place.or_else(|| core.iter().position(forgets).filter(|_| !standing.forgets));
-        let waited = !standing.forgets || self.now > self.started + DISKLESS_REPLACEMENT_DELAY;
+        let place = place.or_else(|| core.iter().position(forgets).filter(|_| !standing.is_volatile));
+        let waited = !standing.is_volatile || self.now > self.started + DISKLESS_REPLACEMENT_DELAY;
         match place {
             Some(place) => core[place] = *node,
             None if core.len() < self.core_needed() && waited => core.push(*node),
@@ -139,7 +141,8 @@
         let since = self.primary.map_or(self.started, |(_, at)| at);
         let me = self.me();
         // A marker that is shutting down takes over only where no other does.
-        let patience = self.election_timeout + if self.standing.leaves { LEAVING_ELECTION_DELAY } else { 0 };
+        let patience =
+            self.election_timeout + if self.standing.is_leaving { LEAVING_ELECTION_DELAY } else { 0 };
         if !epoch.holds(me)
             || self.is_outdated()
             || self.now < since + patience
@@ -166,12 +169,12 @@
             log::info!("stepping down: no majority of the core is reachable");
             return self.step_agreement(out, Agreement::step_down);
         }
-        let has_disk = |node: &&Node| self.is_alive(**node) && !self.standing_of(**node).forgets;
-        if let Some(node) = backups.iter().find(has_disk).filter(|_| self.standing.forgets) {
+        let has_disk = |node: &&Node| self.is_alive(**node) && !self.standing_of(**node).is_volatile;
+        if let Some(node) = backups.iter().find(has_disk).filter(|_| self.standing.is_volatile) {
             if !self.agreement.is_replicating() && now >= self.next_round_at {
                 log::info!("handing over to a marker with a disk");
                 self.next_round_at = now + SLOW_BACKUP_PENALTY;
-                out.push(Output::Send(node.ip, Between::HandOver(number)));
+                out.push(Output::Send(node.ip, PeerMessage::HandOver(number)));
                 return self.step_agreement(out, Agreement::step_down);
             }
         }
@@ -180,7 +183,7 @@
             self.next_round_at = now + SLOW_BACKUP_PENALTY;
             self.step_agreement(out, Agreement::step_down);
             for node in backups {
-                out.push(Output::Send(node.ip, Between::HandOver(number)));
+                out.push(Output::Send(node.ip, PeerMessage::HandOver(number)));
             }
             return;
         }
@@ -191,10 +194,10 @@
             Vec::new()
         };
         let silent = backups.iter().any(|node| !self.is_alive(*node));
-        let leaving = backups.iter().any(|node| self.standing_of(*node).leaves);
+        let leaving = backups.iter().any(|node| self.standing_of(*node).is_leaving);
         let leaving = leaving
             && self.staying_members().iter().filter(|node| **node != self.me()).count() >= backups.len();
-        let unsettled = epoch.core != epoch.before || self.next_core(epoch) != epoch.core;
+        let unsettled = epoch.core != epoch.previous_core || self.next_core(epoch) != epoch.core;
         let regressed = backups.iter().any(|node| self.regressed.contains(node));
         let until = now + SLOW_BACKUP_PENALTY;
         let any_late = !late.is_empty();
@@ -210,17 +213,17 @@
     pub fn shortages(&self) -> Vec<String> {
         let Some(epoch) = self.agreement.epoch() else { return vec!["no core is known".into()] };
         let (losses, needed) = (self.losses, self.core_needed());
-        let available = |node: &&Node| self.is_alive(**node) && !self.standing_of(**node).leaves;
+        let available = |node: &&Node| self.is_alive(**node) && !self.standing_of(**node).is_leaving;
         let reachable = epoch.core.iter().filter(available).count();
         let tolerated = reachable.saturating_sub(epoch.core.len() / 2 + 1);
         let holders = epoch.primary.iter().chain(&epoch.backups).filter(available).count();
         let outside =
             self.peers.values().filter(|peer| peer.is_alive(self.now) && !epoch.core.contains(&peer.node));
-        let core = epoch.core.iter().filter(|node| !self.standing_of(**node).forgets);
-        let disks = core.count() + outside.filter(|peer| !peer.standing.forgets).count();
-        let diskless = epoch.core.iter().filter(|node| self.standing_of(**node).forgets).count();
+        let core = epoch.core.iter().filter(|node| !self.standing_of(**node).is_volatile);
+        let disks = core.count() + outside.filter(|peer| !peer.standing.is_volatile).count();
+        let diskless = epoch.core.iter().filter(|node| self.standing_of(**node).is_volatile).count();
         let mut short = Vec::new();
-        if epoch.core != epoch.before {
+        if epoch.core != epoch.previous_core {
             short.push("a change of the core is in progress".into());
         }
         if epoch.core.len() < needed {
@@ -256,7 +259,7 @@
 
     /// The live core members that are not shutting down, this marker included.
     fn staying_members(&self) -> Vec<Node> {
-        let stays = |node: &Node| self.is_alive(*node) && !self.standing_of(*node).leaves;
+        let stays = |node: &Node| self.is_alive(*node) && !self.standing_of(*node).is_leaving;
         self.core_members().into_iter().filter(stays).collect()
     }
 
@@ -264,7 +267,7 @@
     /// once. The marker keeps working until [`Core::may_end`].
     pub fn on_leave(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        if std::mem::replace(&mut self.standing.leaves, true) {
+        if std::mem::replace(&mut self.standing.is_leaving, true) {
             return;
         }
         self.step_agreement(out, Agreement::abandon_round);
@@ -280,7 +283,7 @@
     pub fn may_end(&self) -> bool {
         let me = self.me();
         let Some(epoch) = self.agreement.epoch() else { return true };
-        let leaves = |node: &Node| *node == me || self.standing_of(*node).leaves;
+        let leaves = |node: &Node| *node == me || self.standing_of(*node).is_leaving;
         let elsewhere = !epoch.holds(me) && self.highest_led_epoch >= epoch.number;
         elsewhere || epoch.core.iter().all(leaves)
     }
@@ -294,13 +297,14 @@
     /// While shutting down: hands over to a backup that stays, once the replication in progress has
     /// completed or timed out. Without such a backup this marker continues as primary.
     pub(super) fn hand_over(&mut self, out: &mut Vec<Output>) {
-        if !self.standing.leaves || (self.agreement.is_replicating() && self.now < self.handover_deadline) {
+        if !self.standing.is_leaving || (self.agreement.is_replicating() && self.now < self.handover_deadline)
+        {
             return;
         }
         let Some((number, backups)) = self.agreement.leadership() else { return };
         let stay = self.staying_members();
         let Some(node) = backups.iter().find(|node| stay.contains(node)).copied() else { return };
         self.step_agreement(out, Agreement::step_down);
-        out.push(Output::Send(node.ip, Between::HandOver(number)));
+        out.push(Output::Send(node.ip, PeerMessage::HandOver(number)));
     }
 }
--- a/crates/marker/tests/closing.rs
+++ b/crates/marker/tests/closing.rs
@@ -12,7 +12,7 @@
 
 /// How long a machine counts as lost after its return, ms: `catch-up-s`.
 const CATCH_UP: u64 = 6_000;
-/// Number of machines that may join later, with an empty disk.
+/// ProposalNumber of machines that may join later, with an empty disk.
 const SPARES: usize = 4;
 
 /// A deployment: its zones, the markers per zone with and without a disk, and the number of
--- a/crates/marker/tests/common/world.rs
+++ b/crates/marker/tests/common/world.rs
@@ -14,8 +14,8 @@
 
 #![allow(dead_code)] // Each file of tests uses a part.
 
-use granitelead_common::kinds::Kind;
-use granitelead_control_protocol::words::{Between, Document, Node, Number};
+use granitelead_common::error_kinds::ErrorKind;
+use granitelead_control_protocol::messages::{Document, Node, PeerMessage, ProposalNumber};
 use marker::core::{begin, Core};
 use marker::parts::{Keeping, Output, Reply};
 use std::cmp::Reverse;
@@ -50,7 +50,7 @@
     pub disk_ms: u64,
     pub cut: bool,
     pub deaf: bool,
-    pub queued: Vec<(Node, Between)>,
+    pub queued: Vec<(Node, PeerMessage)>,
     pub founder: bool,
     /// When it was told to shut down, ms.
     pub stop_requested_at: u64,
@@ -61,7 +61,7 @@
 
 #[derive(Debug)]
 pub enum Event {
-    Message(usize, u32, Node, Box<Between>),
+    Message(usize, u32, Node, Box<PeerMessage>),
     Written(usize, u32, u64, Box<Keeping>),
     Tick(usize, u32),
     CheckExit(usize, u32),
@@ -120,12 +120,12 @@
     pub acked: u32,
     pub read: Option<u32>,
     /// The marker that answered in each epoch.
-    pub primaries: BTreeMap<Number, Ipv4Addr>,
+    pub primaries: BTreeMap<ProposalNumber, Ipv4Addr>,
     pub message_loss: f64,
     /// The share of answers to operators that is lost.
     pub answer_loss: f64,
     /// Alters the messages that markers send.
-    pub tamper: Option<fn(&mut Between)>,
+    pub tamper: Option<fn(&mut PeerMessage)>,
     pub losses: usize,
 }
 
@@ -308,7 +308,7 @@
         }
     }
 
-    pub fn on_answer(&mut self, id: u64, n: usize, reply: Reply, epoch: Option<Number>) {
+    pub fn on_answer(&mut self, id: u64, n: usize, reply: Reply, epoch: Option<ProposalNumber>) {
         if let (Reply::Json(_), Some(Operation::Put(version, content))) =
             (&reply, self.observed.get(&id).map(|s| &s.operation))
         {
@@ -328,7 +328,7 @@
                 outcome = Some(Outcome::Confirmed);
                 None
             }
-            (Reply::Fault(Kind::Conflict, _), Some(Call::Put(..))) => {
+            (Reply::Fault(ErrorKind::Conflict, _), Some(Call::Put(..))) => {
                 outcome = Some(Outcome::Refused);
                 None
             }
--- a/crates/marker/tests/history.rs
+++ b/crates/marker/tests/history.rs
@@ -10,7 +10,7 @@
 use common::world::{Event, World};
 use googletest::prelude::*;
 use granitelead_control_protocol::frames;
-use granitelead_control_protocol::words::{Between, Document, Revision, Word};
+use granitelead_control_protocol::messages::{Document, Message, PeerMessage, Revision};
 use marker::core::begin;
 use marker::parts::Keeping;
 use marker::store::Store;
@@ -70,7 +70,7 @@
             for event in self.world.events.range(first..).map(|(_, event)| event) {
                 if let Event::Message(to, _, from, message) = event {
                     self.bytes_sent[*to] +=
-                        frames::write(&Word::Between(*from, Between::clone(message))).len();
+                        frames::encode(&Message::Peer(*from, PeerMessage::clone(message))).len();
                 }
             }
             if let Some(n) = self.world.primary().filter(|_| self.newest > 0) {
--- a/crates/marker/tests/losses.rs
+++ b/crates/marker/tests/losses.rs
@@ -23,7 +23,7 @@
 fn core_of(world: &World) -> Vec<usize> {
     let primary = world.primary().expect("there is no primary");
     let epoch = world.machines[primary].core.as_ref().unwrap().view().epoch.unwrap();
-    assert_eq!(epoch.core, epoch.before, "a change of the core is in progress");
+    assert_eq!(epoch.core, epoch.previous_core, "a change of the core is in progress");
     (0..world.machines.len()).filter(|n| epoch.core.iter().any(|node| node.ip == ip(*n))).collect()
 }
 
@@ -49,7 +49,7 @@
                 let Some(primary) = world.primary() else { return false };
                 let epoch = world.machines[primary].core.as_ref().unwrap().view().epoch.unwrap();
                 let diskless = |ip| world.machines.iter().any(|p| p.ip == ip && p.diskless);
-                epoch.core == epoch.before
+                epoch.core == epoch.previous_core
                     && epoch.core.len() == 2 * losses + 1
                     && !epoch.core.iter().any(|node| diskless(node.ip))
             };
--- a/crates/marker/tests/model.rs
+++ b/crates/marker/tests/model.rs
@@ -13,8 +13,10 @@
 //! For each rule there is a variant that breaks it, by altering inputs or outputs, which the
 //! checker must detect.
 
-use granitelead_control_protocol::ledger::Known;
-use granitelead_control_protocol::words::{Between, Digest, Document, Epoch, Ledger, Node, Number, Whole};
+use granitelead_control_protocol::ledger::VersionState;
+use granitelead_control_protocol::messages::{
+    Digest, Document, Epoch, Ledger, Node, PeerMessage, ProposalNumber, Snapshot,
+};
 use marker::agreement::{AfterWrite, Agreement, ChangeBatch, Effect};
 use marker::core::begin;
 use marker::parts::Keeping;
@@ -80,7 +82,7 @@
     writes: Vec<Option<(DiskState, BTreeSet<AfterWrite>)>>,
     /// The backups that each marker chooses, as a bit mask, and its change of the core.
     choices: Vec<(u8, Change)>,
-    network: BTreeSet<(Node, usize, Arc<Between>)>,
+    network: BTreeSet<(Node, usize, Arc<PeerMessage>)>,
     rounds_started: u8,
     core_changes: u8,
     power_losses: u8,
@@ -90,7 +92,7 @@
     /// The newest confirmed version, and the content confirmed under each version.
     confirmed_version: u32,
     contents: BTreeMap<u32, Digest>,
-    primaries: BTreeMap<Number, Node>,
+    primaries: BTreeMap<ProposalNumber, Node>,
     /// A read in progress: its marker, and the newest version confirmed before it began.
     read: Option<(usize, u32)>,
     read_done: bool,
@@ -99,7 +101,15 @@
 
 /// The part of [`Keeping`] that the agreement uses, in a hashable form.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct DiskState(Node, Number, Number, Option<Epoch>, Option<Arc<Document>>, Option<u32>, Arc<Ledger>);
+struct DiskState(
+    Node,
+    ProposalNumber,
+    ProposalNumber,
+    Option<Epoch>,
+    Option<Arc<Document>>,
+    Option<u32>,
+    Arc<Ledger>,
+);
 
 impl From<Keeping> for DiskState {
     fn from(k: Keeping) -> DiskState {
@@ -128,7 +138,7 @@
     Written(usize),
     PowerLost(usize),
     Wiped(usize),
-    Deliver(Node, usize, Arc<Between>),
+    Deliver(Node, usize, Arc<PeerMessage>),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -173,15 +183,20 @@
                     let to = (0..self.markers).find(|m| ip(*m) == to).unwrap();
                     let me = world.markers[n].me();
                     match (&message, self.mutation) {
-                        (Between::Hold(number, change), Mutation::ConfirmsBeforeReplication) => {
-                            let held = Between::Held(*number, *change.entries.keys().next_back().unwrap());
+                        (PeerMessage::Replicate(number, change), Mutation::ConfirmsBeforeReplication) => {
+                            let held =
+                                PeerMessage::Replicated(*number, *change.entries.keys().next_back().unwrap());
                             let backup = world.markers[n].leadership().unwrap().1[0];
                             marker_mut(world, n).on_message(backup, held, &mut more);
                         }
-                        (Between::Keep(epoch), Mutation::AcceptedByOne) => {
+                        (PeerMessage::AcceptEpoch(epoch), Mutation::AcceptedByOne) => {
                             let number = epoch.number;
                             for node in epoch.core.clone() {
-                                marker_mut(world, n).on_message(node, Between::Kept(number), &mut more);
+                                marker_mut(world, n).on_message(
+                                    node,
+                                    PeerMessage::EpochAccepted(number),
+                                    &mut more,
+                                );
                             }
                         }
                         _ => {}
@@ -222,7 +237,7 @@
                     }
                     let ledger = world.markers[n].ledger();
                     let lacks = |(version, digest): (&u32, &Digest)| {
-                        ledger.known(*version) != Known::Content(*digest)
+                        ledger.lookup(*version) != VersionState::Content(*digest)
                     };
                     if newest && world.contents.iter().any(lacks) {
                         world.violation = Some("a primary lacks the content of a confirmed version");
@@ -271,7 +286,7 @@
         &self,
         world: &World,
         n: usize,
-        number: Number,
+        number: ProposalNumber,
         newest: &Epoch,
         willing: &BTreeSet<Node>,
     ) -> Option<Epoch> {
@@ -280,7 +295,7 @@
         let mut core = newest.core.clone();
         let now = |node: &Node| world.markers.iter().map(|m| m.me()).find(|m| m.ip == node.ip);
         let waits = world.markers[self.markers - 1].me();
-        if newest.core == newest.before {
+        if newest.core == newest.previous_core {
             if let Some(place) = core.iter().position(|node| now(node) != Some(*node)) {
                 core[place] = now(&core[place])?;
             } else if !core.contains(&waits) {
@@ -301,7 +316,7 @@
         (enough && backups.iter().all(|node| willing.contains(node))).then(|| Epoch {
             number,
             core,
-            before: newest.core.clone(),
+            previous_core: newest.core.clone(),
             primary: Some(me),
             backups,
         })
@@ -333,7 +348,7 @@
     fn restart(&self, world: &mut World, n: usize) {
         world.writes[n] = None;
         if self.mutation == Mutation::LosesPromises {
-            world.disks[n].1 = Number::default();
+            world.disks[n].1 = ProposalNumber::default();
         }
         world.markers[n] = Arc::new(Agreement::new(world.disks[n].clone().into()));
         if world.read.is_some_and(|(at, _)| at == n) {
@@ -363,19 +378,20 @@
 
 /// Whether a message can still have an effect at its recipient. Requests below a persisted promise
 /// are refused forever, and responses to finished requests are ignored.
-fn is_relevant(marker: &Agreement, disk: &DiskState, message: &Between) -> bool {
+fn is_relevant(marker: &Agreement, disk: &DiskState, message: &PeerMessage) -> bool {
     let waits = |number| {
         marker.round_in_progress() == Some(number) || marker.leadership().is_some_and(|(n, _)| n == number)
     };
     match message {
-        Between::Prepare(n) | Between::Copy(n, _) | Between::Hold(n, _) | Between::Check(n, _) => {
-            *n >= disk.1
-        }
-        Between::Keep(epoch) => epoch.number >= disk.1,
-        Between::Promise(n, _) | Between::Copied(n) | Between::Kept(n) => {
+        PeerMessage::Prepare(n)
+        | PeerMessage::InstallSnapshot(n, _)
+        | PeerMessage::Replicate(n, _)
+        | PeerMessage::ConfirmEpoch(n, _) => *n >= disk.1,
+        PeerMessage::AcceptEpoch(epoch) => epoch.number >= disk.1,
+        PeerMessage::Promise(n, _) | PeerMessage::SnapshotInstalled(n) | PeerMessage::EpochAccepted(n) => {
             marker.round_in_progress() == Some(*n)
         }
-        Between::Held(n, _) | Between::Checked(n, _) => waits(*n),
+        PeerMessage::Replicated(n, _) | PeerMessage::EpochConfirmed(n, _) => waits(*n),
         // It only makes its recipient abandon a round or an epoch that can't succeed.
         _ => false,
     }
@@ -419,8 +435,12 @@
         }
         if let Start::ChangingCore(change) = self.start {
             world = plain.next_state(&world, Event::StartRound { marker: 0, backups, change }).unwrap();
-            while !world.network.iter().any(|(_, _, message)| matches!(**message, Between::Keep(_))) {
-                let next = |(from, n, message): &(Node, usize, Arc<Between>)| {
+            while !world
+                .network
+                .iter()
+                .any(|(_, _, message)| matches!(**message, PeerMessage::AcceptEpoch(_)))
+            {
+                let next = |(from, n, message): &(Node, usize, Arc<PeerMessage>)| {
                     plain.next_state(&world, Event::Deliver(*from, *n, message.clone()))
                 };
                 world = world.network.iter().find_map(next).unwrap();
@@ -526,33 +546,38 @@
                 self.restart(&mut next, n);
             }
             Event::Deliver(from, n, message) => match (self.mutation, &*message) {
-                (Mutation::AppliesRepeatedCopy, Between::Copy(..)) => {
-                    let keeping = Keeping { copied: Number::default(), ..next.markers[n].persistent_state() };
+                (Mutation::AppliesRepeatedCopy, PeerMessage::InstallSnapshot(..)) => {
+                    let keeping =
+                        Keeping { copied: ProposalNumber::default(), ..next.markers[n].persistent_state() };
                     next.markers[n] = Arc::new(Agreement::new(keeping));
                     self.step(&mut next, n, |a, effects| {
-                        a.on_message(from, Between::clone(&message), effects)
+                        a.on_message(from, PeerMessage::clone(&message), effects)
                     });
                 }
-                (Mutation::DropsPreviousCore, Between::Promise(number, Some(epoch))) => {
-                    let epoch = Epoch { before: epoch.core.clone(), ..epoch.clone() };
-                    let message = Between::Promise(*number, Some(epoch));
+                (Mutation::DropsPreviousCore, PeerMessage::Promise(number, Some(epoch))) => {
+                    let epoch = Epoch { previous_core: epoch.core.clone(), ..epoch.clone() };
+                    let message = PeerMessage::Promise(*number, Some(epoch));
                     self.step(&mut next, n, |a, effects| a.on_message(from, message, effects));
                 }
-                (Mutation::CopiesWithoutLedger, Between::Copy(number, Whole { document, .. })) => {
-                    let whole = Whole { document: document.clone(), ledger: Ledger::default() };
+                (
+                    Mutation::CopiesWithoutLedger,
+                    PeerMessage::InstallSnapshot(number, Snapshot { document, .. }),
+                ) => {
+                    let whole = Snapshot { document: document.clone(), ledger: Ledger::default() };
                     self.step(&mut next, n, |a, effects| {
-                        a.on_message(from, Between::Copy(*number, whole), effects)
+                        a.on_message(from, PeerMessage::InstallSnapshot(*number, whole), effects)
                     });
                 }
-                (Mutation::AnyMarkerWins, Between::Promise(number, Some(epoch))) => {
+                (Mutation::AnyMarkerWins, PeerMessage::Promise(number, Some(epoch))) => {
                     let me = next.markers[n].me();
                     let mut epoch = epoch.clone();
                     epoch.backups.push(me);
-                    let message = Between::Promise(*number, Some(epoch));
+                    let message = PeerMessage::Promise(*number, Some(epoch));
                     self.step(&mut next, n, |a, effects| a.on_message(from, message, effects));
                 }
-                _ => self
-                    .step(&mut next, n, |a, effects| a.on_message(from, Between::clone(&message), effects)),
+                _ => self.step(&mut next, n, |a, effects| {
+                    a.on_message(from, PeerMessage::clone(&message), effects)
+                }),
             },
         }
         let World { network, markers, disks, .. } = &mut next;
--- a/crates/marker/tests/orders.rs
+++ b/crates/marker/tests/orders.rs
@@ -6,13 +6,13 @@
 
 use common::world::{Call, ObservedCall, Operation, Outcome, World, FAULTS};
 use googletest::prelude::*;
-use granitelead_control_protocol::words::{Between, Ledger};
+use granitelead_control_protocol::messages::{Ledger, PeerMessage};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Largest number of operators' calls in flight.
 const MAX_IN_FLIGHT: usize = 8;
-/// Number of schedules by default, as in CI; the variable `SCHEDULES` sets another.
+/// ProposalNumber of schedules by default, as in CI; the variable `SCHEDULES` sets another.
 const SCHEDULES: u64 = 10_000;
 
 /// Checks a history: each version has one content; only a change that was never confirmed is
@@ -109,7 +109,7 @@
 }
 
 /// Runs one schedule; returns the violation in its history, if any.
-fn run_schedule(seed: u64, tamper: Option<fn(&mut Between)>) -> std::result::Result<(), String> {
+fn run_schedule(seed: u64, tamper: Option<fn(&mut PeerMessage)>) -> std::result::Result<(), String> {
     let (losses, machines) = if seed % 8 == 7 { (2, 6) } else { (1, 3) };
     let mut world = World::new(machines, 3, seed);
     (world.losses, world.tamper) = (losses, tamper);
@@ -170,13 +170,13 @@
 /// Guards the checker itself: it must detect markers that lose parts of the ledger.
 #[gtest]
 fn the_checker_detects_markers_that_lose_parts_of_the_ledger() {
-    let without: fn(&mut Between) = |message| {
-        if let Between::Copy(_, whole) = message {
+    let without: fn(&mut PeerMessage) = |message| {
+        if let PeerMessage::InstallSnapshot(_, whole) = message {
             whole.ledger = Ledger::default();
         }
     };
-    let newest_only: fn(&mut Between) = |message| {
-        if let Between::Hold(_, change) = message {
+    let newest_only: fn(&mut PeerMessage) = |message| {
+        if let PeerMessage::Replicate(_, change) = message {
             change.entries = change.entries.pop_last().into_iter().collect();
         }
     };
