--- a/crates/marker/src/agreement.rs
+++ b/crates/marker/src/agreement.rs
@@ -172,7 +172,7 @@
 }
 
 /// Whether more than half of the nodes satisfy the predicate.
-pub fn most(of: &[Node], predicate: impl Fn(&Node) -> bool) -> bool {
+pub fn is_majority(of: &[Node], predicate: impl Fn(&Node) -> bool) -> bool {
     of.iter().filter(|node| predicate(node)).count() * 2 > of.len()
 }
 
@@ -484,7 +484,7 @@
             .filter(|n| !round.contacted.contains(n))
             .collect();
         let promised = |node: &Node| promises.contains_key(node);
-        let enough = most(&newest.core, promised) && most(&newest.previous_core, promised);
+        let enough = is_majority(&newest.core, promised) && is_majority(&newest.previous_core, promised);
         let willing: BTreeSet<Node> = promises.keys().copied().collect();
         round.contacted.extend(more.iter().copied());
         for node in more {
@@ -560,7 +560,7 @@
         let Step::Accepting(epoch, accepted) = &mut round.step else { return };
         accepted.insert(from);
         let has_accepted = |node: &Node| accepted.contains(node);
-        if !(most(&epoch.core, has_accepted) && most(&epoch.previous_core, has_accepted)) {
+        if !(is_majority(&epoch.core, has_accepted) && is_majority(&epoch.previous_core, has_accepted)) {
             return;
         }
         let backups = epoch.backups.clone();
--- a/crates/marker/src/core.rs
+++ b/crates/marker/src/core.rs
@@ -138,15 +138,15 @@
 
 /// A snapshot of the core's state for status reports and tests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
+pub struct CoreStatus {
     /// The newest epoch accepted here.
     pub epoch: Option<Epoch>,
     /// Whether this marker is the primary of that epoch, accepted by a majority.
-    pub leads: bool,
+    pub is_primary: bool,
     /// The newest version known to be committed.
-    pub sure: Option<u32>,
+    pub committed: Option<u32>,
     /// How many versions the ledger holds, and the highest one that it has dropped.
-    pub numbers: (usize, Option<u32>),
+    pub versions: (usize, Option<u32>),
     /// How many changes this marker has refused since its start because their version holds another
     /// content.
     pub refused: u64,
@@ -158,9 +158,9 @@
     pub needed: (usize, usize),
     /// What is missing to tolerate the configured losses, refreshed every 150 ms; see
     /// [`Core::shortages`].
-    pub short: Vec<String>,
+    pub shortages: Vec<String>,
     /// Whether this marker is shutting down.
-    pub leaves: bool,
+    pub shutting_down: bool,
 }
 
 /// The consensus driver of one marker.
@@ -227,7 +227,7 @@
 /// the seeds before disks are known. Any other marker starts outside the core with the random
 /// identity `drawn`. `first_start` must be true for at most one process at an address, so that no
 /// identity is used twice.
-pub fn begin(ip: Ipv4Addr, seeds: &[Ipv4Addr], first_start: bool, drawn: u64) -> Keeping {
+pub fn initial_state(ip: Ipv4Addr, seeds: &[Ipv4Addr], first_start: bool, drawn: u64) -> Keeping {
     if !(first_start && seeds.contains(&ip)) {
         return empty_state(Node { ip, replica_id: drawn | 1 << 63 });
     }
@@ -295,7 +295,7 @@
     }
 
     /// Sets the zone of this marker, and whether it has a disk.
-    pub fn placed(mut self, zone: &str, disk: bool) -> Core {
+    pub fn with_placement(mut self, zone: &str, disk: bool) -> Core {
         self.standing = MarkerStatus { zone: zone.to_owned(), is_volatile: !disk, ..MarkerStatus::default() };
         self
     }
@@ -306,23 +306,23 @@
     }
 
     /// A snapshot for status reports.
-    pub fn view(&self) -> View {
-        View {
+    pub fn view(&self) -> CoreStatus {
+        CoreStatus {
             epoch: self.agreement.epoch().cloned(),
-            leads: self.agreement.leadership().is_some(),
-            sure: self.agreement.committed().map(|d| d.version),
-            numbers: (self.agreement.ledger().entries().len(), self.agreement.ledger().forgotten()),
+            is_primary: self.agreement.leadership().is_some(),
+            committed: self.agreement.committed().map(|d| d.version),
+            versions: (self.agreement.ledger().entries().len(), self.agreement.ledger().forgotten()),
             refused: self.refused,
             rounds: self.rounds,
             duties: self.duties.holders(self.now),
             needed: (self.core_needed(), self.losses + 1),
-            short: self.logged_shortages.clone(),
-            leaves: self.standing.is_leaving,
+            shortages: self.logged_shortages.clone(),
+            shutting_down: self.standing.is_leaving,
         }
     }
 
     /// The newest configuration that is known here to be committed.
-    pub fn sure(&self) -> Option<&Arc<Document>> {
+    pub fn committed(&self) -> Option<&Arc<Document>> {
         self.agreement.committed()
     }
 
@@ -417,7 +417,7 @@
     }
 
     /// Handles a message from another marker.
-    pub fn on_word(&mut self, now: Millis, from: Node, message: PeerMessage, out: &mut Vec<Output>) {
+    pub fn on_message(&mut self, now: Millis, from: Node, message: PeerMessage, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match message {
             PeerMessage::Heartbeat {
--- a/crates/marker/src/core/heartbeats.rs
+++ b/crates/marker/src/core/heartbeats.rs
@@ -5,7 +5,7 @@
     Core, Peer, DISCONNECT_ELECTION_TIMEOUT, HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT, KNOWN_MAX,
     OUTSIDE_HEARTBEAT_INTERVAL,
 };
-use crate::agreement::most;
+use crate::agreement::is_majority;
 use crate::parts::{Millis, Output};
 use granitelead_control_protocol::messages::{Document, MarkerStatus, Node, PeerMessage, ProposalNumber};
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 
 impl Core {
     /// The addresses of all other known markers.
-    pub fn known(&self) -> BTreeSet<Ipv4Addr> {
+    pub fn known_markers(&self) -> BTreeSet<Ipv4Addr> {
         let core = self.agreement.epoch().into_iter();
         let core = core.flat_map(|e| e.core.iter().chain(&e.previous_core)).map(|node| node.ip);
         let mut known: BTreeSet<Ipv4Addr> = core.chain(self.seeds.iter().copied()).collect();
@@ -23,20 +23,21 @@
     }
 
     /// The markers that are alive according to their heartbeats.
-    pub fn live(&self) -> Vec<Ipv4Addr> {
+    pub fn live_markers(&self) -> Vec<Ipv4Addr> {
         let alive = self.peers.iter().filter(|(_, peer)| peer.is_alive(self.now));
         alive.map(|(ip, _)| *ip).collect()
     }
 
     /// Whether this marker hears a majority of the core, itself included.
     pub fn hears_majority(&self) -> bool {
-        self.agreement.epoch().is_some_and(|e| most(&e.core, |node| self.is_alive(*node)))
+        self.agreement.epoch().is_some_and(|e| is_majority(&e.core, |node| self.is_alive(*node)))
     }
 
     /// Sends heartbeats to all markers; to and from markers outside the core at a longer interval.
     pub(super) fn send_heartbeats(&mut self, out: &mut Vec<Output>) {
         let epoch = self.agreement.epoch().map(|e| e.number).unwrap_or_default();
-        let (leads, led, others) = (self.agreement.leadership().is_some(), self.has_primary(), self.live());
+        let (leads, led, others) =
+            (self.agreement.leadership().is_some(), self.has_primary(), self.live_markers());
         let sure = self.agreement.committed().map(|d| d.version);
         let standing = MarkerStatus { group: self.group().into_iter().collect(), ..self.standing.clone() };
         let all = self.now >= self.last_outside_heartbeat + OUTSIDE_HEARTBEAT_INTERVAL;
@@ -46,7 +47,7 @@
         let core = self.agreement.epoch().map(|e| e.core.clone()).unwrap_or_default();
         let in_core = |ip: Ipv4Addr| core.iter().any(|node| node.ip == ip);
         let is_member = core.contains(&self.me());
-        for ip in self.known().into_iter().filter(|ip| all || is_member && in_core(*ip)) {
+        for ip in self.known_markers().into_iter().filter(|ip| all || is_member && in_core(*ip)) {
             let (others, duties, standing) = (others.clone(), self.duties.mine(), standing.clone());
             out.push(Output::Send(
                 ip,
@@ -79,24 +80,24 @@
 
     /// Whether a majority of the core, this marker included, is alive and reports hearing this
     /// marker.
-    pub fn in_contact(&self) -> bool {
-        self.most_of_core(|ip| self.peers.get(&ip).is_some_and(|peer| peer.hears.contains(&self.me().ip)))
+    pub fn has_quorum(&self) -> bool {
+        self.majority_of_core(|ip| self.peers.get(&ip).is_some_and(|peer| peer.hears.contains(&self.me().ip)))
     }
 
     /// Whether a majority of the core, this marker included, is alive and satisfies `has`. False
     /// where no epoch has been accepted.
-    pub fn most_of_core(&self, has: impl Fn(Ipv4Addr) -> bool) -> bool {
+    pub fn majority_of_core(&self, has: impl Fn(Ipv4Addr) -> bool) -> bool {
         let counts = |node: &Node| *node == self.me() || self.is_alive(*node) && has(node.ip);
-        self.agreement.epoch().is_some_and(|e| most(&e.core, counts))
+        self.agreement.epoch().is_some_and(|e| is_majority(&e.core, counts))
     }
 
     /// A random number that differs from those of earlier processes with high probability.
-    pub fn draw(&mut self) -> u64 {
+    pub fn draw_nonce(&mut self) -> u64 {
         self.rng.u64(1 << 32..1 << 48)
     }
 
     /// Replaces the seeds after the settings were reloaded.
-    pub fn reseed(&mut self, seeds: &[Ipv4Addr]) {
+    pub fn set_seeds(&mut self, seeds: &[Ipv4Addr]) {
         self.seeds = seeds.to_vec();
     }
 
@@ -194,12 +195,12 @@
 
     /// Handles a new connection to another marker: sends it a heartbeat at once instead of at the
     /// next interval.
-    pub fn on_reached(&mut self) {
+    pub fn on_connected(&mut self) {
         (self.last_heartbeat, self.last_outside_heartbeat) = (0, 0);
     }
 
     /// Handles a broken connection to another marker, whose process may have exited.
-    pub fn on_broken(&mut self, now: Millis, ip: Ipv4Addr) {
+    pub fn on_disconnected(&mut self, now: Millis, ip: Ipv4Addr) {
         self.now = self.now.max(now);
         // A process that exits closes its connections at once; a live one sends its next heartbeat
         // before this time.
--- a/crates/marker/src/core/operator_calls.rs
+++ b/crates/marker/src/core/operator_calls.rs
@@ -18,7 +18,7 @@
 impl Core {
     pub(super) fn on_committed(&mut self, document: Arc<Document>, out: &mut Vec<Output>) {
         if self.agreement.leadership().is_some() {
-            for ip in self.live() {
+            for ip in self.live_markers() {
                 out.push(Output::Send(ip, PeerMessage::Committed(Document::clone(&document))));
             }
         }
--- a/crates/marker/src/core/quota_group.rs
+++ b/crates/marker/src/core/quota_group.rs
@@ -40,7 +40,7 @@
 impl Core {
     /// The other markers of this marker's group, according to its own view.
     pub(super) fn group(&self) -> BTreeSet<Ipv4Addr> {
-        let (me, live) = (self.me().ip, self.live());
+        let (me, live) = (self.me().ip, self.live_markers());
         let alive = self.peers.iter().filter(|(_, peer)| peer.is_alive(self.now));
         let mut hearing: Hearing = alive.map(|(ip, peer)| (*ip, peer.hears.as_slice())).collect();
         hearing.insert(me, &live);
@@ -51,7 +51,7 @@
 
     /// The markers with which this one adds up usage: members of its group that also report it as a
     /// member of theirs.
-    pub fn counts_with(&self) -> BTreeSet<Ipv4Addr> {
+    pub fn quota_group(&self) -> BTreeSet<Ipv4Addr> {
         let mut group = self.group();
         let confirms = |peer: &Peer| peer.standing.group.contains(&self.me().ip);
         group.retain(|ip| self.peers.get(ip).is_some_and(confirms));
@@ -60,7 +60,7 @@
 
     /// Whether `counts_with` covers the whole core and every marker heard from that is not shutting
     /// down.
-    pub fn all_count_together(&self, counts_with: &BTreeSet<Ipv4Addr>) -> bool {
+    pub fn quota_group_is_complete(&self, counts_with: &BTreeSet<Ipv4Addr>) -> bool {
         let Some(epoch) = self.agreement.epoch() else { return false };
         let core = epoch.core.iter().map(|node| node.ip);
         let staying = |peer: &&Peer| peer.last_heard.is_some() && !peer.standing.is_leaving;
--- a/crates/marker/src/core/rounds.rs
+++ b/crates/marker/src/core/rounds.rs
@@ -6,7 +6,7 @@
     HEARTBEAT_INTERVAL, LEAVING_ELECTION_DELAY, MAJORITY_TIMEOUT, MEMBER_REPLACEMENT_DELAY,
     REPLICATION_TIMEOUT, SLOW_BACKUP_PENALTY,
 };
-use crate::agreement::{most, Agreement};
+use crate::agreement::{is_majority, Agreement};
 use crate::parts::{Millis, Output};
 use granitelead_control_protocol::messages::{Epoch, MarkerStatus, Node, PeerMessage, ProposalNumber};
 use std::collections::BTreeSet;
@@ -44,7 +44,7 @@
         let mut backups: Vec<Node> = core.iter().filter(can).copied().collect();
         let is_slow = |node: &Node| self.slow_until.get(&node.ip).is_some_and(|until| self.now < *until);
         // A marker that is shutting down becomes a backup only where too few others can; if it then
-        // exits early, it reports the version that only it may store ([`Core::held_alone`]).
+        // exits early, it reports the version that only it may store ([`Core::sole_copy_version`]).
         let stays = |node: &Node| !self.standing_of(*node).is_leaving;
         if backups.iter().filter(|node| stays(node)).count() >= wanted {
             backups.retain(stays);
@@ -156,7 +156,7 @@
             let missing = |peer: &Peer| peer.node == *node && !peer.has_primary && peer.is_alive(self.now);
             *node == me || self.peers.get(&node.ip).is_some_and(missing)
         };
-        if most(&epoch.core, misses) {
+        if is_majority(&epoch.core, misses) {
             self.begin_round(out);
         }
     }
@@ -290,7 +290,7 @@
 
     /// The version that may be stored only here and on other markers that are shutting down, if the
     /// process exits before [`Core::may_end`] holds.
-    pub fn held_alone(&self) -> Option<u32> {
+    pub fn sole_copy_version(&self) -> Option<u32> {
         self.agreement.document().filter(|_| !self.may_end()).map(|d| d.version)
     }
 
--- a/crates/marker/src/duties.rs
+++ b/crates/marker/src/duties.rs
@@ -12,7 +12,7 @@
 //! The primary is not among these: who may be primary depends on who holds what, and is decided by epochs
 //! ([`crate::agreement`]).
 
-use crate::agreement::most;
+use crate::agreement::is_majority;
 use crate::parts::Millis;
 use granitelead_control_protocol::messages::{Duty, Node, ProposalNumber};
 use std::collections::{BTreeMap, BTreeSet};
@@ -143,7 +143,7 @@
         let Some(state) = self.states.get_mut(&duty) else { return };
         let Some(ballot) = state.ballot.as_mut().filter(|ballot| ballot.number == number) else { return };
         ballot.votes.insert(from);
-        if most(core, |node| ballot.votes.contains(node)) {
+        if is_majority(core, |node| ballot.votes.contains(node)) {
             log::info!(
                 "{duty:?} under number {}, after {} ms",
                 number.round,
--- a/crates/marker/src/run.rs
+++ b/crates/marker/src/run.rs
@@ -333,9 +333,9 @@
     let keeping = match kept {
         Some(kept) if kept.node.ip == settings.ip => kept,
         _ => {
-            let begin = core::begin(settings.ip, &seeds, first_start, fastrand::u64(..));
-            store.write(&begin).context(FolderSnafu)?;
-            begin
+            let initial = core::initial_state(settings.ip, &seeds, first_start, fastrand::u64(..));
+            store.write(&initial).context(FolderSnafu)?;
+            initial
         }
     };
     let (writes, to_write) = mpsc::channel();
@@ -350,7 +350,7 @@
     let inner = listen(SocketAddr::from((settings.ip, settings.internal_port))).await?;
     let outer = listen(control.into()).await?;
     let core = Core::new(keeping, &seeds, settings.machine_losses, fastrand::u64(..), 0)
-        .placed(&settings.zone, settings.data_directory.is_some());
+        .with_placement(&settings.zone, settings.data_directory.is_some());
     let beat = settings.heartbeat_interval.as_millis() as Millis;
     let window = settings.bounds.quota_window.as_millis() as Millis;
     let marker = Marker::new(core, settings.zone.clone(), beat, servers).remembering(gatekeepers, window);
--- a/crates/marker/src/state.rs
+++ b/crates/marker/src/state.rs
@@ -1,6 +1,6 @@
 //! One marker as a state machine: calls, words and ticks come in; what to send, write and answer goes out.
 
-use crate::core::{Core, View};
+use crate::core::{Core, CoreStatus};
 use crate::members::Members;
 use crate::parts::{Millis, Output, Reply, SessionId};
 use crate::registry::{self, Learnt, Registry};
@@ -126,7 +126,7 @@
         for server in servers {
             registry.take(0, server);
         }
-        let (ticket, asked, begun) = (core.draw(), core.draw(), core.now());
+        let (ticket, asked, begun) = (core.draw_nonce(), core.draw_nonce(), core.now());
         Marker {
             core,
             zone,
@@ -175,18 +175,18 @@
     }
 
     /// The core from outside.
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> CoreStatus {
         self.core.view()
     }
 
     /// All other markers, to hold connections to.
     pub fn known(&self) -> BTreeSet<Ipv4Addr> {
-        self.core.known()
+        self.core.known_markers()
     }
 
     /// The settings name other seeds.
     pub fn reseed(&mut self, seeds: &[Ipv4Addr]) {
-        self.core.reseed(seeds);
+        self.core.set_seeds(seeds);
     }
 
     /// A call comes; it is answered under its number.
@@ -242,7 +242,7 @@
             out.push(Output::Answer(id, Reply::fault(ErrorKind::Uncertain, "this marker is out of contact")));
             0
         } else if leaves.is_some() {
-            let live = self.core.live();
+            let live = self.core.live_markers();
             self.sessions.wait(now, Waiter::Call(id), &live)
         } else {
             out.push(Output::Answer(id, reply));
@@ -270,7 +270,7 @@
         let ended: Vec<Instance> =
             changed.iter().filter(|i| i.state == InstanceState::Gone).cloned().collect();
         let ticket = if ticket == 0 && !ended.is_empty() { self.sessions.ticket() } else { ticket };
-        for ip in self.core.known().into_iter().filter(|ip| Some(*ip) != except) {
+        for ip in self.core.known_markers().into_iter().filter(|ip| Some(*ip) != except) {
             self.repair.owe(now, ip, &ended, ticket);
             out.push(Output::Send(ip, PeerMessage::Servers(ticket, changed.clone())));
         }
@@ -377,7 +377,7 @@
             PeerMessage::Usage(_) => {}
             PeerMessage::CatchUp(number) => {
                 out.push(Output::Send(from.ip, PeerMessage::Servers(0, self.registry.whole())));
-                let sure = self.core.sure().map(|d| d.version);
+                let sure = self.core.committed().map(|d| d.version);
                 out.push(Output::Send(from.ip, PeerMessage::CaughtUp(number, sure)));
             }
             PeerMessage::CaughtUp(number, sure) => {
@@ -385,7 +385,7 @@
                     asking.answers.insert(from.ip, sure);
                 }
             }
-            word => self.core.on_word(now, from, word, out),
+            word => self.core.on_message(now, from, word, out),
         }
         self.after(now, out);
     }
@@ -393,13 +393,13 @@
     /// A connection to another marker is up, or down.
     pub fn on_line(&mut self, now: Millis, ip: Ipv4Addr, up: bool, out: &mut Vec<Output>) {
         if up {
-            self.core.on_reached();
+            self.core.on_connected();
             // What was asked while the line was down went nowhere.
             if let Some(asking) = &mut self.asking {
                 asking.at = 0;
             }
         } else {
-            self.core.on_broken(now, ip);
+            self.core.on_disconnected(now, ip);
         }
         let peer = self.peers.entry(ip).or_default();
         let greets = up && !peer.greeted;
@@ -428,7 +428,7 @@
                     life,
                     name,
                     has,
-                    self.core.sure(),
+                    self.core.committed(),
                     all,
                     markers,
                     &self.zone,
@@ -469,7 +469,7 @@
         let Some(name) = self.sessions.name(session) else { return };
         self.tally.close(session);
         self.members.end(now, &name, 0);
-        for ip in self.core.known() {
+        for ip in self.core.known_markers() {
             out.push(Output::Send(ip, PeerMessage::GatekeeperLeft(name.clone())));
         }
     }
@@ -501,9 +501,9 @@
         self.core.may_end()
     }
 
-    /// See [`Core::held_alone`].
+    /// See [`Core::sole_copy_version`].
     pub fn held_alone(&self) -> Option<u32> {
-        self.core.held_alone()
+        self.core.sole_copy_version()
     }
 
     /// Time passes.
@@ -512,7 +512,7 @@
         self.sessions.on_tick(now, out);
         self.registry.on_tick(now, !self.contact);
         self.reap(now, out);
-        let peers: Vec<Ipv4Addr> = self.core.live();
+        let peers: Vec<Ipv4Addr> = self.core.live_markers();
         if now >= self.totals_at + TOTALS {
             self.totals_at = now;
             let due = now >= self.adds_at + ADDS;
@@ -542,7 +542,7 @@
         }
         if now >= self.sessions_at + SESSIONS {
             self.sessions_at = now;
-            let known = self.core.known();
+            let known = self.core.known_markers();
             self.repair.sweep(now, |ip| known.contains(ip));
             self.look_at_members(now, &peers, out);
             let markers = self.markers();
@@ -564,8 +564,8 @@
             let word = PeerMessage::Sessions { zone: self.zone.clone(), names: here, missed, ended };
             out.extend(peers.iter().map(|ip| Output::Send(*ip, word.clone())));
         }
-        self.counts_with = self.core.counts_with();
-        let all_together = self.core.all_count_together(&self.counts_with);
+        self.counts_with = self.core.quota_group();
+        let all_together = self.core.quota_group_is_complete(&self.counts_with);
         let (counted, heard) = (&self.counts_with, &self.peers);
         let counts = self.members.look(now, all_together, |ip| {
             heard.get(&ip).filter(|_| counted.contains(&ip)).map(|peer| peer.heard)
@@ -598,7 +598,7 @@
             return;
         }
         let ticket = self.sessions.ticket();
-        for ip in self.core.known() {
+        for ip in self.core.known_markers() {
             out.push(Output::Send(ip, PeerMessage::ConfirmExpired(number, ticket, silent.clone())));
         }
         self.reaping = Some(Reaping { ticket, at: now, silent, told: BTreeSet::new() });
@@ -610,7 +610,7 @@
     fn on_reaped(&mut self, now: Millis, from: Ipv4Addr, ticket: u64, out: &mut Vec<Output>) {
         let Some(reaping) = self.reaping.as_mut().filter(|reaping| reaping.ticket == ticket) else { return };
         reaping.told.insert(from);
-        if !self.core.most_of_core(|ip| reaping.told.contains(&ip)) {
+        if !self.core.majority_of_core(|ip| reaping.told.contains(&ip)) {
             return;
         }
         let Some(Reaping { silent, .. }) = self.reaping.take() else { return };
@@ -624,7 +624,7 @@
     /// Says out of contact when it hears no majority, or is not heard by it; and in contact once a majority has answered, since
     /// then, what was missed, and the newest version that it named is here. The number of the asking decides, not the time.
     fn watch_contact(&mut self, now: Millis, out: &mut Vec<Output>) {
-        if !self.core.in_contact() {
+        if !self.core.has_quorum() {
             self.asking = None;
             if std::mem::take(&mut self.contact) {
                 self.turn(now, out);
@@ -638,7 +638,7 @@
             self.asked += 1;
             self.asking = Some(Asking { number: self.asked, at: 0, answers: BTreeMap::new() });
         }
-        let (live, sure) = (self.core.live(), self.core.sure().map(|d| d.version));
+        let (live, sure) = (self.core.live_markers(), self.core.committed().map(|d| d.version));
         let Some(asking) = self.asking.as_mut() else { return };
         if now >= asking.at + AGAIN || asking.at == 0 {
             asking.at = now;
@@ -646,7 +646,7 @@
                 out.push(Output::Send(ip, PeerMessage::CatchUp(asking.number)));
             }
         }
-        let answered = self.core.most_of_core(|ip| asking.answers.contains_key(&ip));
+        let answered = self.core.majority_of_core(|ip| asking.answers.contains_key(&ip));
         if answered && asking.answers.values().all(|theirs| *theirs <= sure) {
             (self.contact, self.asking) = (true, None);
             self.turn(now, out);
@@ -662,14 +662,14 @@
 
     /// A marker of a zone that is heard, where it is another than this one's.
     fn marker_of(&self, zone: &str) -> Option<Ipv4Addr> {
-        let live = self.core.live();
+        let live = self.core.live_markers();
         let of = |(ip, peer): &(&Ipv4Addr, &Peer)| peer.zone == zone && live.contains(ip);
         let mut peers = self.peers.iter().filter(|_| zone != self.zone);
         peers.find(of).map(|(ip, _)| *ip)
     }
 
     fn markers(&self) -> Vec<Ipv4Addr> {
-        let mut markers = self.core.live();
+        let mut markers = self.core.live_markers();
         markers.push(self.core.me().ip);
         markers.sort();
         markers
@@ -692,7 +692,7 @@
         self.watch_contact(now, out);
         for (waiter, told) in self.sessions.known(now) {
             // A gatekeeper in touch has a session with one of any majority, or is told all when it opens one.
-            let most = || self.contact && self.core.most_of_core(|ip| told.contains(&ip));
+            let most = || self.contact && self.core.majority_of_core(|ip| told.contains(&ip));
             out.push(match waiter {
                 Waiter::Call(id) if most() => Output::Answer(id, Reply::done()),
                 Waiter::Call(id) => Output::Answer(
@@ -722,16 +722,16 @@
         });
         let duties: serde_json::Map<String, serde_json::Value> = duties.collect();
         let (kept, handed, dropped) = self.repair.figures();
-        let (have, of) = view.sure.map_or((0, 0), |version| self.sessions.have(version));
+        let (have, of) = view.committed.map_or((0, 0), |version| self.sessions.have(version));
         serde_json::json!({
             "marker": self.me().ip.to_string(),
-            "leads": view.leads,
+            "leads": view.is_primary,
             "contact": self.contact,
             "contact-for-ms": now - self.contact_at,
             "epoch": epoch,
-            "version": view.sure.map(|v| format!("{v:08x}")),
-            "numbers-held": view.numbers.0,
-            "numbers-forgotten": view.numbers.1.map(|v| format!("{v:08x}")),
+            "version": view.committed.map(|v| format!("{v:08x}")),
+            "numbers-held": view.versions.0,
+            "numbers-forgotten": view.versions.1.map(|v| format!("{v:08x}")),
             "orders-refused": view.refused,
             "sessions": of,
             "sessions-with-version": have,
@@ -744,8 +744,8 @@
             "ends-dropped": dropped,
             "core-needed": view.needed.0,
             "copies-needed": view.needed.1,
-            "too-few": view.short,
-            "leaves": view.leaves,
+            "too-few": view.shortages,
+            "leaves": view.shutting_down,
             "rounds-begun": view.rounds.0,
             "rounds-won": view.rounds.1,
         })
--- a/crates/marker/src/store.rs
+++ b/crates/marker/src/store.rs
@@ -449,14 +449,14 @@
     fn keeping(version: u32) -> Keeping {
         let ip = [10, 1, 0, 2].into();
         let document = Some(Arc::new(Document { version, bytes: vec![7; 100_000] }));
-        Keeping { document, ..core::begin(ip, &[ip], true, 5) }
+        Keeping { document, ..core::initial_state(ip, &[ip], true, 5) }
     }
 
     #[gtest]
     fn what_is_written_is_read_back_and_an_empty_folder_is_told_from_it() {
         let mut store = Store::in_memory().unwrap();
         expect_that!(store.read().unwrap(), none());
-        let outside = core::begin([10, 1, 0, 2].into(), &[], false, 5);
+        let outside = core::initial_state([10, 1, 0, 2].into(), &[], false, 5);
         for kept in [keeping(1), Keeping { sure: Some(2), ..keeping(2) }, outside] {
             store.write(&kept).unwrap();
             expect_that!(store.read().unwrap(), some(eq(&kept)));
--- a/crates/marker/tests/callers.rs
+++ b/crates/marker/tests/callers.rs
@@ -1,7 +1,7 @@
 //! What one process says to another counts for what it was meant for, and once, also when it comes late or again.
 
 use googletest::prelude::*;
-use marker::core::{begin, Core};
+use marker::core::{initial_state, Core};
 use marker::sessions::{Sessions, Waiter};
 use marker::tally::Tally;
 use std::net::Ipv4Addr;
@@ -11,7 +11,7 @@
 /// Those of a process that starts.
 fn sessions(seed: u64) -> Sessions {
     let me = Ipv4Addr::new(10, 0, 0, 1);
-    Sessions::new(Core::new(begin(me, &[me], true, seed), &[me], 0, seed, 0).draw())
+    Sessions::new(Core::new(initial_state(me, &[me], true, seed), &[me], 0, seed, 0).draw_nonce())
 }
 
 /// Whose waits have ended.
--- a/crates/marker/tests/common/world.rs
+++ b/crates/marker/tests/common/world.rs
@@ -16,7 +16,7 @@
 
 use granitelead_common::error_kinds::ErrorKind;
 use granitelead_control_protocol::messages::{Document, Node, PeerMessage, ProposalNumber};
-use marker::core::{begin, Core};
+use marker::core::{initial_state, Core};
 use marker::parts::{Keeping, Output, Reply};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -192,13 +192,13 @@
         let seeds: Vec<Ipv4Addr> = self.machines.iter().filter(|p| p.founder).map(|p| p.ip).collect();
         let seed = self.rng.u64(..);
         let machine = &mut self.machines[n];
-        let initial = || begin(machine.ip, &seeds, first_start, seed);
+        let initial = || initial_state(machine.ip, &seeds, first_start, seed);
         let keeping = machine.disk.clone().unwrap_or_else(initial);
         machine.disk = Some(keeping.clone());
         machine.incarnation += 1;
         machine.state = ProcessState::Up;
         let core = Core::new(keeping, &seeds, self.losses, seed, self.now);
-        machine.core = Some(core.placed(machine.zone, !machine.diskless));
+        machine.core = Some(core.with_placement(machine.zone, !machine.diskless));
         let incarnation = machine.incarnation;
         self.schedule(0, Event::Tick(n, incarnation));
     }
@@ -224,7 +224,7 @@
                 // Its peers see the connections close.
                 let ip = self.machines[n].ip;
                 for other in (0..self.machines.len()).filter(|m| *m != n) {
-                    self.step(other, |core, now, _| core.on_broken(now, ip));
+                    self.step(other, |core, now, _| core.on_disconnected(now, ip));
                 }
             }
             "wipe" => {
@@ -296,7 +296,7 @@
                 Output::Answer(id, reply) => {
                     // A marker that learned of the commit from the primary may confirm as well;
                     // only answers of primaries are recorded here.
-                    let epoch = view.epoch.as_ref().filter(|_| view.leads).map(|e| e.number);
+                    let epoch = view.epoch.as_ref().filter(|_| view.is_primary).map(|e| e.number);
                     self.on_answer(id, n, reply, epoch);
                 }
                 Output::Tell(..)
@@ -380,7 +380,7 @@
                 {
                     match self.machines[n].state {
                         ProcessState::Up => {
-                            self.step(n, |core, now, out| core.on_word(now, from, *message, out))
+                            self.step(n, |core, now, out| core.on_message(now, from, *message, out))
                         }
                         ProcessState::Frozen => self.machines[n].queued.push((from, *message)),
                         ProcessState::Down => {}
@@ -442,7 +442,7 @@
 
     pub fn primary(&self) -> Option<usize> {
         let leads = |p: &Machine| {
-            p.state == ProcessState::Up && p.core.as_ref().is_some_and(|core| core.view().leads)
+            p.state == ProcessState::Up && p.core.as_ref().is_some_and(|core| core.view().is_primary)
         };
         self.machines.iter().position(leads)
     }
--- a/crates/marker/tests/core.rs
+++ b/crates/marker/tests/core.rs
@@ -5,7 +5,7 @@
 use common::world::{ip, play, play_with, Call, Outcome, World, FAULTS};
 use googletest::prelude::*;
 use granitelead_control_protocol::messages::{PeerMessage, ProposalNumber};
-use marker::core::{begin, Core};
+use marker::core::{initial_state, Core};
 use marker::parts::Output;
 use std::net::Ipv4Addr;
 
@@ -474,8 +474,8 @@
 #[gtest]
 fn a_marker_that_others_only_report_does_not_join_the_core() {
     let seeds: Vec<Ipv4Addr> = (0..3).map(ip).collect();
-    let node = |n| begin(ip(n), &seeds, true, 0).node;
-    let mut a = Core::new(begin(ip(0), &seeds, true, 0), &seeds, 1, 7, 0);
+    let node = |n| initial_state(ip(n), &seeds, true, 0).node;
+    let mut a = Core::new(initial_state(ip(0), &seeds, true, 0), &seeds, 1, 7, 0);
     let (mut inbox, mut core) = (Vec::new(), None);
     for now in (0..600).step_by(25) {
         let mut out = Vec::new();
@@ -490,9 +490,9 @@
             duties,
             status: standing,
         };
-        a.on_word(now, node(1), hear, &mut out);
+        a.on_message(now, node(1), hear, &mut out);
         for message in std::mem::take(&mut inbox) {
-            a.on_word(now, node(1), message, &mut out);
+            a.on_message(now, node(1), message, &mut out);
         }
         a.on_tick(now, &mut out);
         while let Some(output) = out.pop() {
--- a/crates/marker/tests/history.rs
+++ b/crates/marker/tests/history.rs
@@ -11,7 +11,7 @@
 use googletest::prelude::*;
 use granitelead_control_protocol::frames;
 use granitelead_control_protocol::messages::{Document, Message, PeerMessage, Revision};
-use marker::core::begin;
+use marker::core::initial_state;
 use marker::parts::Keeping;
 use marker::store::Store;
 use std::net::Ipv4Addr;
@@ -53,7 +53,7 @@
 
     /// The newest revision that a marker knows to be committed.
     fn committed(&self, n: usize) -> Option<Revision> {
-        let committed = self.world.machines[n].core.as_ref().and_then(|core| core.sure());
+        let committed = self.world.machines[n].core.as_ref().and_then(|core| core.committed());
         committed.map(|document| document.revision())
     }
 
@@ -308,7 +308,7 @@
     let directory = DataDirectory::new(&format!("history-{changes}-{size}"));
     let mut store = Store::open(&directory.0).unwrap();
     let ip = Ipv4Addr::new(10, 0, 0, 1);
-    let mut keeping = begin(ip, &[ip], true, 7);
+    let mut keeping = initial_state(ip, &[ip], true, 7);
     let mut most = 0;
     for version in 1..=changes {
         keeping.document = Some(Arc::new(document(version, size)));
--- a/crates/marker/tests/model.rs
+++ b/crates/marker/tests/model.rs
@@ -18,7 +18,7 @@
     Digest, Document, Epoch, Ledger, Node, PeerMessage, ProposalNumber, Snapshot,
 };
 use marker::agreement::{AfterWrite, Agreement, ChangeBatch, Effect};
-use marker::core::begin;
+use marker::core::initial_state;
 use marker::parts::Keeping;
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
@@ -403,7 +403,7 @@
 
     fn init_states(&self) -> Vec<World> {
         let seeds: Vec<Ipv4Addr> = (0..self.founders).map(ip).collect();
-        let first = |n: usize| begin(ip(n), &seeds, n < self.founders, 0);
+        let first = |n: usize| initial_state(ip(n), &seeds, n < self.founders, 0);
         let disks: Vec<DiskState> = (0..self.markers).map(|n| first(n).into()).collect();
         let markers = disks.iter().map(|disk| Arc::new(Agreement::new(disk.clone().into()))).collect();
         let mut world = World {
@@ -542,7 +542,8 @@
                 next.wipes += 1;
                 let seeds: Vec<Ipv4Addr> = (0..self.founders).map(ip).collect();
                 let drawn = u64::from(next.wipes);
-                next.disks[n] = begin(ip(n), &seeds, self.mutation == Mutation::KeepsIdentity, drawn).into();
+                next.disks[n] =
+                    initial_state(ip(n), &seeds, self.mutation == Mutation::KeepsIdentity, drawn).into();
                 self.restart(&mut next, n);
             }
             Event::Deliver(from, n, message) => match (self.mutation, &*message) {
--- a/crates/marker/tests/store.rs
+++ b/crates/marker/tests/store.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use granitelead_control_protocol::ledger::{VersionState, VERSIONS_MAX};
 use granitelead_control_protocol::messages::{Digest, Document, Ledger};
-use marker::core::begin;
+use marker::core::initial_state;
 use marker::parts::Keeping;
 use marker::store::Store;
 use rusqlite::Connection;
@@ -35,7 +35,7 @@
 fn keeping(version: u32, ledger: &Ledger) -> Keeping {
     let ip = [10, 1, 0, 2].into();
     let document = Some(Arc::new(Document { version, bytes: vec![7; 100] }));
-    Keeping { document, ledger: Arc::new(ledger.clone()), ..begin(ip, &[ip], true, 5) }
+    Keeping { document, ledger: Arc::new(ledger.clone()), ..initial_state(ip, &[ip], true, 5) }
 }
 
 #[gtest]
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -30,7 +30,7 @@
 };
 use granitelead_proxy::control::Control;
 use granitelead_proxy::gate::Gate;
-use marker::core::{begin, Core};
+use marker::core::{initial_state, Core};
 use marker::parts::{Keeping, Output, Reply};
 use marker::state::{Call, Marker};
 use serde_json::Value;
@@ -289,7 +289,8 @@
             (None, ["up"]) => {
                 let seeds = self.seeds();
                 let (board, seed) = (&mut self.boards[n], self.rng.u64(..));
-                let keeping = board.disk.clone().unwrap_or_else(|| begin(board.ip, &seeds, true, seed));
+                let keeping =
+                    board.disk.clone().unwrap_or_else(|| initial_state(board.ip, &seeds, true, seed));
                 let core = Core::new(keeping, &seeds, (boards - 1) / 2, seed, self.now);
                 let marker = Marker::new(core, format!("zone-{n}"), 1_500, board.servers.clone());
                 board.marker = Some(marker.remembering(board.gatekeepers.clone(), 5_000));
--- a/crates/proxy/tests/history.rs
+++ b/crates/proxy/tests/history.rs
@@ -41,7 +41,7 @@
     fn replace(&mut self, version: u32) {
         let leads = |world: &World, n: usize| {
             world.others(n).len() * 2 + 1 >= world.boards.len()
-                && world.boards[n].marker.as_ref().is_some_and(|m| m.view().leads)
+                && world.boards[n].marker.as_ref().is_some_and(|m| m.view().is_primary)
         };
         let until = self.now + 3_000;
         while self.now < until {
