--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -1,5 +1,5 @@
-//! How the settings are written down, as `path=value` pairs: one mapping for the wire and for the
-//! gatekeeper's configuration, whose nested form [`flatten`] brings into pairs. No decisions.
+//! Parses settings from `path=value` pairs. The text wire and the gatekeeper's configuration share this
+//! mapping; [`flatten`] converts the configuration's nested form into pairs. No decisions are made here.
 
 use crate::*;
 use serde_json::Value;
@@ -7,17 +7,17 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// What is wrong with a field, and where it stands.
+/// An invalid field and its position.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}{}field `{field}`: {fault}", at_line(*.line), of_message(.message))]
 pub struct FieldError {
-    /// The line, from 1; 0 where there are none.
+    /// Line number, from 1; 0 if the input has no lines.
     pub line: u64,
-    /// What kind of message it is in; empty where that can't be told.
+    /// The kind of message that contains it; empty if unknown.
     pub message: String,
-    /// Its path.
+    /// Path of the field.
     pub field: String,
-    /// What is wrong with it.
+    /// The kind of fault.
     pub fault: Fault,
 }
 
@@ -37,52 +37,52 @@
     }
 }
 
-/// What can be wrong with a field.
+/// The kinds of faults in a field.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Fault {
-    /// It is not there.
+    /// The field is missing.
     #[error("missing")]
     Missing,
-    /// A pair without its sign.
+    /// A pair has no `=`.
     #[error("no `=`")]
     NoEquals,
-    /// It is no value of its kind.
-    #[error("`{0}` is not a proper value")]
-    Improper(String),
-    /// A number without bounds, or none.
-    #[error("not a finite number")]
-    Infinite,
-    /// It is no truth value.
-    #[error("`{0}` is neither 1 nor 0")]
-    NoFlag(String),
-    /// It is none of the words that may stand there.
-    #[error("`{0}` is not a known word")]
-    UnknownWord(String),
-    /// No message has this name.
-    #[error("`{0}` is not a known event")]
+    /// The value does not parse as its type.
+    #[error("invalid value `{0}`")]
+    InvalidValue(String),
+    /// The number is infinite or NaN.
+    #[error("must be finite")]
+    NotFinite,
+    /// The value is not a boolean.
+    #[error("`{0}` is not a boolean (1 or 0)")]
+    NotBoolean(String),
+    /// The value is none of the permitted names.
+    #[error("unknown value `{0}`")]
+    UnknownValue(String),
+    /// No event has this name.
+    #[error("unknown event `{0}`")]
     UnknownEvent(String),
-    /// Another message has to stand here.
+    /// Another kind of message is required here.
     #[error("{0} expected")]
     Expected(&'static str),
-    /// An empty list that must not be.
-    #[error("names none")]
+    /// The list is empty but must not be.
+    #[error("must not be empty")]
     NamesNone,
-    /// Nothing of this number was begun.
+    /// No instance with this number was launched.
     #[error("no such instance")]
-    NoInstance,
+    UnknownInstance,
 }
 
-/// One message: its name, its fields and its number in the input.
+/// One message: its name, its fields and its line number.
 pub struct Fields<'a> {
-    /// What kind of message it is.
+    /// The kind of message.
     pub name: &'a str,
     values: BTreeMap<&'a str, &'a str>,
-    /// Its number in the input; 0 where there are no lines.
+    /// Line number in the input; 0 if the input has no lines.
     line: u64,
 }
 
 impl<'a> Fields<'a> {
-    /// Splits a line of the wire.
+    /// Parses a line of the text wire: a name and tab-separated pairs.
     pub fn parse(text: &'a str, line: u64) -> Result<Self, FieldError> {
         let mut parts = text.split('\t');
         let name = parts.next().unwrap_or_default();
@@ -99,93 +99,93 @@
         Ok(Fields { name, values, line })
     }
 
-    /// Fields that come from elsewhere than a line.
+    /// Builds a message from pairs that do not come from a line.
     pub fn from_pairs(name: &'a str, pairs: &'a [(String, String)]) -> Self {
         let values = pairs.iter().map(|(key, value)| (key.as_str(), value.as_str())).collect();
         Fields { name, values, line: 0 }
     }
 
-    /// Names the place and the field.
+    /// An error for a field of this message.
     pub fn error(&self, field: &str, fault: Fault) -> FieldError {
         FieldError { line: self.line, message: self.name.to_owned(), field: field.to_owned(), fault }
     }
 
-    /// A text; empty where it is absent.
+    /// An optional string; empty if absent.
     pub fn text_or_empty(&self, field: &str) -> &'a str {
         self.values.get(field).copied().unwrap_or_default()
     }
 
-    /// A text that must be there.
+    /// A required string.
     pub fn text(&self, field: &str) -> Result<&'a str, FieldError> {
         self.values.get(field).copied().ok_or_else(|| self.error(field, Fault::Missing))
     }
 
-    /// A value that may be absent.
+    /// An optional value.
     pub fn optional<T: FromStr>(&self, field: &str) -> Result<Option<T>, FieldError> {
         let Some(value) = self.values.get(field) else { return Ok(None) };
-        value.parse().map(Some).map_err(|_| self.error(field, Fault::Improper((*value).to_owned())))
+        value.parse().map(Some).map_err(|_| self.error(field, Fault::InvalidValue((*value).to_owned())))
     }
 
-    /// A value that must be there.
+    /// A required value.
     pub fn number<T: FromStr>(&self, field: &str) -> Result<T, FieldError> {
         self.optional(field)?.ok_or_else(|| self.error(field, Fault::Missing))
     }
 
-    /// A whole number that must be there.
+    /// A required unsigned integer.
     pub fn int(&self, field: &str) -> Result<u64, FieldError> {
         self.number(field)
     }
 
-    /// A finite number that must be there.
+    /// A required finite number.
     pub fn float(&self, field: &str) -> Result<f64, FieldError> {
         self.checked(field)?.ok_or_else(|| self.error(field, Fault::Missing))
     }
 
-    /// A finite number that may be absent.
+    /// An optional finite number.
     pub fn checked(&self, field: &str) -> Result<Option<f64>, FieldError> {
         match self.optional::<f64>(field)? {
-            Some(n) if !n.is_finite() => Err(self.error(field, Fault::Infinite)),
+            Some(n) if !n.is_finite() => Err(self.error(field, Fault::NotFinite)),
             n => Ok(n),
         }
     }
 
-    /// A finite number; absent means 0.
+    /// A finite number; 0 if absent.
     pub fn float_or_zero(&self, field: &str) -> Result<f64, FieldError> {
         Ok(self.checked(field)?.unwrap_or(0.0))
     }
 
-    /// A span in microseconds; absent means 0.
+    /// A duration in microseconds; 0 if absent.
     pub fn span_or_zero(&self, field: &str) -> Result<Micros, FieldError> {
         Ok(self.optional(field)?.unwrap_or(0))
     }
 
-    /// A truth value; absent means false.
+    /// A boolean; false if absent.
     pub fn flag(&self, field: &str) -> Result<bool, FieldError> {
         match self.values.get(field).copied() {
             None | Some("0" | "false") => Ok(false),
             Some("1" | "true") => Ok(true),
-            Some(other) => Err(self.error(field, Fault::NoFlag(other.to_owned()))),
+            Some(other) => Err(self.error(field, Fault::NotBoolean(other.to_owned()))),
         }
     }
 
-    /// One of the words given.
+    /// A required value out of the named choices.
     pub fn choice<T: Copy>(&self, field: &str, choices: &[(&str, T)]) -> Result<T, FieldError> {
         let value = self.text(field)?;
         let found = choices.iter().find(|(name, _)| *name == value).map(|(_, choice)| *choice);
-        found.ok_or_else(|| self.error(field, Fault::UnknownWord(value.to_owned())))
+        found.ok_or_else(|| self.error(field, Fault::UnknownValue(value.to_owned())))
     }
 }
 
-/// The names that the settings gave to classes and plans.
+/// The names of classes and plans in the settings.
 #[derive(Clone, Debug)]
 pub struct Names {
-    /// Of the classes, in their order.
+    /// Names of the classes, in order.
     pub classes: Vec<String>,
-    /// Of the plans, in their order.
+    /// Names of the plans, in order.
     pub plans: Vec<String>,
 }
 
-/// Reads what a gatekeeper is told at its start.
+/// Parses a gatekeeper's settings.
 pub fn settings(f: &Fields) -> Result<(Settings, Names), FieldError> {
     let mut names = Names { classes: Vec::new(), plans: Vec::new() };
     let mut classes = Vec::new();
@@ -233,7 +233,7 @@
         classes,
         plans,
         limits: Limits {
-            // Absent limits allow the least: one attempt, no copy, no advice.
+            // The defaults are the most restrictive: one attempt, no hedging, no retry advice.
             max_attempts: f.optional("limits.maxAttempts")?.unwrap_or(1),
             second_copies: f.flag("limits.mayDuplicate")?,
             cancel: f.flag("limits.mayCancel")?,
@@ -253,7 +253,7 @@
     Ok((settings, names))
 }
 
-/// Turns nested settings into the pairs that the wire has: `a.b`, for lists `a.count` and `a.0`.
+/// Flattens nested settings into the pairs of the text wire: `a.b`; for lists `a.count` and `a.0`.
 pub fn flatten(path: &str, value: &Value, pairs: &mut Vec<(String, String)>) {
     let at = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
     match value {
@@ -264,7 +264,7 @@
         }
         Value::Null => {}
         Value::String(text) => pairs.push((path.to_owned(), text.clone())),
-        // Whole numbers without a point, so that spans written as `5.0` are taken too.
+        // Integral floats print without a fraction, so that spans written as `5.0` are accepted too.
         Value::Number(n) if n.is_f64() => {
             pairs.push((path.to_owned(), n.as_f64().unwrap_or_default().to_string()))
         }
@@ -277,14 +277,14 @@
     use super::*;
 
     #[test]
-    fn limits_that_are_absent_allow_the_least() {
-        let told = serde_json::json!({
+    fn absent_limits_default_to_the_most_restrictive() {
+        let document = serde_json::json!({
             "instances": 100,
             "limits": {"retryAfter": true},
             "rules": {"coldFrom": 0.2, "coldUs": 1_000, "fallMultiple": 2, "tipAfterUs": 1_000},
         });
         let mut pairs = Vec::new();
-        flatten("", &told, &mut pairs);
+        flatten("", &document, &mut pairs);
         let (settings, _) = settings(&Fields::from_pairs("settings", &pairs)).unwrap();
         let limits = &settings.limits;
         assert_eq!((limits.max_attempts, limits.max_retry_after), (1, 0));
--- a/crates/simwire/src/lib.rs
+++ b/crates/simwire/src/lib.rs
@@ -1,6 +1,6 @@
-//! Hosts gatekeepers on the text wire: reads batches of events, prints batches of actions.
+//! Runs gatekeepers behind the simulator's text protocol: reads batches of events, writes batches of actions.
 //!
-//! Malformed input ends the program with a message that names the line and the field.
+//! Malformed input ends the program with an error that names the line and the field.
 
 mod wire;
 
@@ -13,9 +13,9 @@
 use thiserror::Error;
 use wire::Input;
 
-/// Runs the adapter over standard input and output, to its end.
+/// Runs the adapter on standard input and output until the input ends.
 pub fn run() -> ExitCode {
-    match converse(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
+    match run_session(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
             eprintln!("granitelead-adapter: {message}");
@@ -24,9 +24,9 @@
     }
 }
 
-/// Why a conversation ends before its input does.
+/// Errors that end a session before its input does.
 #[derive(Debug, Error)]
-enum Broken {
+enum SessionError {
     #[error(transparent)]
     Field(#[from] FieldError),
     #[error("line {line}: {error}")]
@@ -39,18 +39,20 @@
     Output(io::Error),
 }
 
-/// Numbers the lines as they are read, for error messages.
+/// Line reader that counts lines for error messages.
 struct Lines<R> {
     input: R,
     number: u64,
 }
 
 impl<R: BufRead> Lines<R> {
-    fn next(&mut self) -> Result<Option<String>, Broken> {
+    fn next(&mut self) -> Result<Option<String>, SessionError> {
         self.number += 1;
         let mut line = String::new();
-        let read =
-            self.input.read_line(&mut line).map_err(|error| Broken::Input { line: self.number, error })?;
+        let read = self
+            .input
+            .read_line(&mut line)
+            .map_err(|error| SessionError::Input { line: self.number, error })?;
         while line.ends_with(['\n', '\r']) {
             line.pop();
         }
@@ -58,9 +60,9 @@
     }
 }
 
-fn converse(input: impl BufRead, mut output: impl Write) -> Result<(), Broken> {
+fn run_session(input: impl BufRead, mut output: impl Write) -> Result<(), SessionError> {
     let mut lines = Lines { input, number: 0 };
-    let mut hosted: BTreeMap<u32, (Gatekeeper, Names)> = BTreeMap::new();
+    let mut instances: BTreeMap<u32, (Gatekeeper, Names)> = BTreeMap::new();
     while let Some(head) = lines.next()? {
         if head.is_empty() {
             continue;
@@ -72,44 +74,44 @@
         let (now, turn) = (head.int("nowUs")?, head.int("turn")?);
         let mut reply = String::new();
         loop {
-            let line = lines.next()?.ok_or(Broken::EndsInBatch(lines.number))?;
+            let line = lines.next()?.ok_or(SessionError::EndsInBatch(lines.number))?;
             if line == "GO" {
                 break;
             }
             let fields = Fields::parse(&line, lines.number)?;
             let instance = fields.number("gatekeeper")?;
-            let event = match wire::input(&fields, hosted.get(&instance).map(|(_, names)| names))? {
+            let event = match wire::parse_input(&fields, instances.get(&instance).map(|(_, names)| names))? {
                 Input::Launch { settings, seed, names } => {
-                    hosted.insert(instance, (Gatekeeper::new(*settings, seed, now), *names));
+                    instances.insert(instance, (Gatekeeper::new(*settings, seed, now), *names));
                     continue;
                 }
                 Input::Teardown => {
-                    hosted.remove(&instance);
+                    instances.remove(&instance);
                     continue;
                 }
-                Input::Nothing => continue,
+                Input::Ignored => continue,
                 Input::Servers { scope, rows } => {
                     let mut servers = Vec::new();
                     for _ in 0..rows {
-                        let line = lines.next()?.ok_or(Broken::EndsInList)?;
-                        servers.push(wire::row(&Fields::parse(&line, lines.number)?)?);
+                        let line = lines.next()?.ok_or(SessionError::EndsInList)?;
+                        servers.push(wire::parse_server(&Fields::parse(&line, lines.number)?)?);
                     }
                     Event::Servers(granitelead_decisions::ServerList { scope, servers })
                 }
                 Input::Event(event) => event,
             };
-            let Some((gatekeeper, _)) = hosted.get_mut(&instance) else {
-                return Err(fields.error("gatekeeper", Fault::NoInstance).into());
+            let Some((gatekeeper, _)) = instances.get_mut(&instance) else {
+                return Err(fields.error("gatekeeper", Fault::UnknownInstance).into());
             };
             let mut actions: Vec<Action> = Vec::new();
-            // A panic is a defect in the decision code; the wire has a word for that.
+            // A panic is a defect in the decision code; the protocol has a message for it.
             match panic::catch_unwind(AssertUnwindSafe(|| gatekeeper.handle(now, event, &mut actions))) {
-                Ok(()) => actions.iter().for_each(|action| wire::print(&mut reply, instance, action)),
-                Err(_) => wire::internal_error(&mut reply, instance, "panic in the decision code"),
+                Ok(()) => actions.iter().for_each(|action| wire::write_action(&mut reply, instance, action)),
+                Err(_) => wire::write_internal_error(&mut reply, instance, "panic in the decision code"),
             }
         }
         reply.push_str(&format!("DONE\tturn={turn}\n"));
-        output.write_all(reply.as_bytes()).and_then(|()| output.flush()).map_err(Broken::Output)?;
+        output.write_all(reply.as_bytes()).and_then(|()| output.flush()).map_err(SessionError::Output)?;
     }
     Ok(())
 }
--- a/crates/simwire/src/wire.rs
+++ b/crates/simwire/src/wire.rs
@@ -1,18 +1,19 @@
-//! The wire's words: parsing of events and settings, printing of actions. No decisions.
+//! Messages of the text protocol: parsing of events and settings, printing of actions. No decisions.
 
 use granitelead_decisions::settings::{settings, Fault, FieldError, Fields, Names};
 use granitelead_decisions::*;
 use std::fmt::Write;
 
-/// What one line asks of the host.
+/// A parsed input line.
 pub enum Input {
     Launch { settings: Box<Settings>, seed: u64, names: Box<Names> },
     Teardown,
     Servers { scope: ListScope, rows: usize },
     Event(Event),
-    Nothing,
+    Ignored,
 }
 
+/// Names of attempt outcomes in the protocol.
 const OUTCOMES: [(&str, Outcome); 8] = [
     ("GOOD", Outcome::Ok),
     ("BAD", Outcome::Error),
@@ -24,11 +25,12 @@
     ("NOP", Outcome::NotSent),
 ];
 
-fn ticket(f: &Fields) -> Result<RequestId, FieldError> {
+fn request_id(f: &Fields) -> Result<RequestId, FieldError> {
     f.text("ticket").map(|id| RequestId(id.into()))
 }
 
-pub fn input(f: &Fields, names: Option<&Names>) -> Result<Input, FieldError> {
+/// Parses an input line; `names` are those of the addressed instance, if it was launched.
+pub fn parse_input(f: &Fields, names: Option<&Names>) -> Result<Input, FieldError> {
     if f.name == "LAUNCH" {
         let (settings, names) = settings(f)?;
         return Ok(Input::Launch {
@@ -40,7 +42,7 @@
     if f.name == "TEARDOWN" {
         return Ok(Input::Teardown);
     }
-    let Some(names) = names else { return Err(f.error("gatekeeper", Fault::NoInstance)) };
+    let Some(names) = names else { return Err(f.error("gatekeeper", Fault::UnknownInstance)) };
     let event = match f.name {
         "FLEET" => {
             use ListScope::*;
@@ -48,12 +50,12 @@
             return Ok(Input::Servers { scope, rows: f.optional("items")?.unwrap_or(0) });
         }
         "DEMAND" => {
-            let place = |names: &[String], value: &str| names.iter().position(|name| name == value);
+            let index = |names: &[String], value: &str| names.iter().position(|name| name == value);
             Event::Request(Request {
-                id: ticket(f)?,
+                id: request_id(f)?,
                 customer: CustomerId(f.text("caller")?.into()),
-                class: place(&names.classes, f.text("type")?).map(ClassId),
-                plan: place(&names.plans, f.text("contract")?).map(PlanId),
+                class: index(&names.classes, f.text("type")?).map(ClassId),
+                plan: index(&names.plans, f.text("contract")?).map(PlanId),
                 units: f.float("quotaUnits")?,
                 gatekeepers: f.number("width")?,
                 time_left: f
@@ -67,7 +69,7 @@
         "RESOLVED" => {
             f.optional::<f64>("seenUse")?;
             Event::AttemptDone(AttemptDone {
-                request: ticket(f)?,
+                request: request_id(f)?,
                 attempt: f.number("n")?,
                 outcome: f.choice("status", &OUTCOMES)?,
                 latency: f.span_or_zero("latencyUs")?,
@@ -75,32 +77,33 @@
                 true_units: f.checked("billed")?.filter(|units| *units != 0.0),
             })
         }
-        "HEAD_RECEIVED" => Event::StreamStarted { request: ticket(f)? },
-        "GONE" => Event::ClientGone(ticket(f)?),
+        "HEAD_RECEIVED" => Event::StreamStarted { request: request_id(f)? },
+        "GONE" => Event::ClientGone(request_id(f)?),
         "COUNTED" => {
             let status = f.text("status")?;
             let outcome = match status {
                 "GOOD" => CounterOutcome::Total(f.float("reading")?),
                 "FULL" | "NOCONN" => CounterOutcome::Refused,
                 "LATE" => CounterOutcome::Timeout,
-                other => return Err(f.error("status", Fault::UnknownWord(other.to_owned()))),
+                other => return Err(f.error("status", Fault::UnknownValue(other.to_owned()))),
             };
             Event::Counter { name: CounterName(f.text("counter")?.into()), outcome }
         }
         "HEALTH_RESULT" => {
             f.int("worker")?;
-            return Ok(Input::Nothing);
+            return Ok(Input::Ignored);
         }
         "NOTE_FROM" => {
             f.int("by")?;
-            return Ok(Input::Nothing);
+            return Ok(Input::Ignored);
         }
         other => return Err(f.error("name", Fault::UnknownEvent(other.to_owned()))),
     };
     Ok(Input::Event(event))
 }
 
-pub fn row(f: &Fields) -> Result<ServerInfo, FieldError> {
+/// Parses one server of a list.
+pub fn parse_server(f: &Fields) -> Result<ServerInfo, FieldError> {
     if f.name != "ROW" {
         return Err(f.error("name", Fault::Expected("ROW")));
     }
@@ -116,8 +119,8 @@
     })
 }
 
-/// Prints one action as a line of the reply.
-pub fn print(reply: &mut String, instance: u32, action: &Action) {
+/// Appends an action to the reply, as one line.
+pub fn write_action(reply: &mut String, instance: u32, action: &Action) {
     let line = match action {
         Action::Send { request, server, timeout } => {
             format!(
@@ -143,7 +146,7 @@
     let _ = writeln!(reply, "{line}");
 }
 
-/// Prints that the decision code has failed.
-pub fn internal_error(reply: &mut String, instance: u32, what: &str) {
+/// Reports a failure of the decision code.
+pub fn write_internal_error(reply: &mut String, instance: u32, what: &str) {
     let _ = writeln!(reply, "INTERNAL_ERROR\tgatekeeper={instance}\twhat={what}");
 }
