--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small stage for the module: settings, events and a counter service kept by the test itself.
+//! A test harness around one gatekeeper: settings, events, timers, and a counter service run by the test.
 #![allow(dead_code)]
 
 use granitelead_decisions::*;
@@ -12,8 +12,8 @@
     Class { aim: 500 * MS, deadline: 2 * S, effect, group, key_window: S }
 }
 
-/// Class 0 repeats freely, 1 is keyed within a cell, 2 must not run twice. Plan 0 has a quota of 10 units a
-/// second with a burst of 20, plan 1 the same and a ceiling of twice that.
+/// Class 0 is idempotent, class 1 is deduplicated within a cell, class 2 must not run twice. Plan 0 has a
+/// quota of 10 units a second with a burst of 20; plan 1 has the same and a ceiling of twice that.
 pub fn settings() -> Settings {
     let plan = Plan { rate: 10.0, burst: 20.0, over_cost: 1.0, ..Plan::default() };
     let ceiling = Plan { ceiling_rate: 20.0, ceiling_burst: 40.0, ceiling_slack: 4.0, ..plan.clone() };
@@ -39,7 +39,7 @@
     ServerInfo::ready(ServerId(id))
 }
 
-/// What became of a request.
+/// The final answer of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     Served,
@@ -47,7 +47,7 @@
     Failed,
 }
 
-/// How the counter service behaves.
+/// The behaviour of the counter service.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Counter {
     Answers,
@@ -55,47 +55,48 @@
     Refuses,
 }
 
-pub struct Out {
+/// An attempt in flight.
+pub struct InFlight {
     pub request: String,
     pub attempt: usize,
     pub server: u64,
     pub sent: Micros,
 }
 
-/// One gatekeeper, its timers, and the attempts it has out.
-pub struct Stage {
-    pub keeper: Gatekeeper,
+/// One gatekeeper with its timers and attempts in flight.
+pub struct Harness {
+    pub gatekeeper: Gatekeeper,
     pub now: Micros,
     pub timers: Vec<(Micros, TimerToken)>,
-    pub out: Vec<Out>,
+    pub in_flight: Vec<InFlight>,
     pub attempts: BTreeMap<String, usize>,
     pub answers: BTreeMap<String, Vec<Answer>>,
     pub sends: Vec<(Micros, String, u64)>,
     pub calls: Vec<(CounterName, f64)>,
     pub log: Vec<Action>,
-    pub named: u64,
+    pub submitted: u64,
 }
 
-impl Stage {
+impl Harness {
     pub fn new(settings: Settings, servers: &[u64]) -> Self {
-        Stage::with(settings, servers.iter().map(|id| server(*id)).collect())
+        Harness::with(settings, servers.iter().map(|id| server(*id)).collect())
     }
 
     pub fn with(settings: Settings, servers: Vec<ServerInfo>) -> Self {
-        let mut stage = Stage {
-            keeper: Gatekeeper::new(settings, 7, START),
+        let mut harness = Harness {
+            gatekeeper: Gatekeeper::new(settings, 7, START),
             now: START,
             timers: Vec::new(),
-            out: Vec::new(),
+            in_flight: Vec::new(),
             attempts: BTreeMap::new(),
             answers: BTreeMap::new(),
             sends: Vec::new(),
             calls: Vec::new(),
             log: Vec::new(),
-            named: 0,
+            submitted: 0,
         };
-        stage.list(ListScope::Full, servers);
-        stage
+        harness.list(ListScope::Full, servers);
+        harness
     }
 
     pub fn list(&mut self, scope: ListScope, servers: Vec<ServerInfo>) {
@@ -104,7 +105,7 @@
 
     pub fn event(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.keeper.handle(self.now, event, &mut actions);
+        self.gatekeeper.handle(self.now, event, &mut actions);
         for action in actions {
             match action.clone() {
                 Action::Send { request, server, .. } => {
@@ -112,7 +113,7 @@
                     let (attempt, sent) = (*n, self.now);
                     *n += 1;
                     self.sends.push((sent, request.0.clone(), server.0));
-                    self.out.push(Out { request: request.0, attempt, server: server.0, sent });
+                    self.in_flight.push(InFlight { request: request.0, attempt, server: server.0, sent });
                 }
                 Action::Refuse { request, retry_after } => {
                     self.answer(&request.0, Answer::Refused(retry_after))
@@ -130,13 +131,13 @@
         self.answers.entry(request.into()).or_default().push(answer);
     }
 
-    /// A request of the customer; gives its id.
-    pub fn ask(&mut self, customer: &str, class: usize, plan: usize, units: f64) -> String {
-        self.ask_for(2 * S, customer, class, plan, units)
+    /// Submits a request of the customer and returns its id.
+    pub fn submit(&mut self, customer: &str, class: usize, plan: usize, units: f64) -> String {
+        self.submit_with_timeout(2 * S, customer, class, plan, units)
     }
 
-    /// A request whose client waits for so long.
-    pub fn ask_for(
+    /// Submits a request whose client waits for `time_left`.
+    pub fn submit_with_timeout(
         &mut self,
         time_left: Micros,
         customer: &str,
@@ -144,8 +145,8 @@
         plan: usize,
         units: f64,
     ) -> String {
-        self.named += 1;
-        let id = format!("r-{}", self.named);
+        self.submitted += 1;
+        let id = format!("r-{}", self.submitted);
         self.event(Event::Request(Request {
             id: RequestId(id.clone()),
             customer: CustomerId(customer.into()),
@@ -167,13 +168,13 @@
         self.answers.get(request).and_then(|a| a.first().copied())
     }
 
-    /// Ends the oldest attempt out.
-    pub fn done(&mut self, outcome: Outcome) {
-        let o = self.out.remove(0);
-        self.end(o, outcome);
+    /// Finishes the oldest attempt in flight.
+    pub fn finish_oldest(&mut self, outcome: Outcome) {
+        let o = self.in_flight.remove(0);
+        self.finish(o, outcome);
     }
 
-    pub fn end(&mut self, o: Out, outcome: Outcome) {
+    pub fn finish(&mut self, o: InFlight, outcome: Outcome) {
         let closed = outcome == Outcome::Ok || self.answers.contains_key(&o.request);
         if outcome == Outcome::Ok && !self.answers.contains_key(&o.request) {
             self.answer(&o.request, Answer::Served);
@@ -188,8 +189,8 @@
         }));
     }
 
-    /// Lets time pass, firing timers.
-    pub fn pass(&mut self, span: Micros) {
+    /// Advances the clock, firing timers.
+    pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
             self.timers.sort();
@@ -205,8 +206,8 @@
         self.now = end;
     }
 
-    /// Answers the calls made so far from the totals given.
-    pub fn count(&mut self, service: Counter, totals: &mut BTreeMap<String, f64>) {
+    /// Answers the counter calls made so far, based on the given totals.
+    pub fn answer_calls(&mut self, service: Counter, totals: &mut BTreeMap<String, f64>) {
         while !self.calls.is_empty() {
             for (name, amount) in std::mem::take(&mut self.calls) {
                 let outcome = match service {
--- a/crates/decisions/tests/fleet.rs
+++ b/crates/decisions/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Many gatekeepers at once: what their decisions sum to, and servers that fail in part.
+//! Many gatekeepers at once: the sum of their decisions, and servers that fail partially.
 
 mod common;
 use common::*;
@@ -11,19 +11,19 @@
     Settings { instances: GATEKEEPERS, ..settings() }
 }
 
-/// A gatekeeper of the fleet, with its own seed and number.
-fn gatekeeper(seed: u64, figures: &Settings, servers: &[u64]) -> Stage {
-    let mut s = Stage::new(figures.clone(), &[]);
-    s.keeper = Gatekeeper::new(Settings { me: seed as u32, ..figures.clone() }, seed, START);
+/// One gatekeeper of the fleet, with its own seed and index.
+fn gatekeeper(seed: u64, config: &Settings, servers: &[u64]) -> Harness {
+    let mut s = Harness::new(config.clone(), &[]);
+    s.gatekeeper = Gatekeeper::new(Settings { me: seed as u32, ..config.clone() }, seed, START);
     (s.timers, s.log) = (Vec::new(), Vec::new());
     s.list(ListScope::Full, servers.iter().map(|id| server(*id)).collect());
     s
 }
 
-/// A request of a customer that comes in through `gatekeepers`.
-fn ask(s: &mut Stage, customer: &str, plan: usize, units: f64, gatekeepers: u32) -> String {
-    s.named += 1;
-    let id = RequestId(format!("r-{}", s.named));
+/// Submits a request of a customer whose requests arrive at `gatekeepers` gatekeepers.
+fn submit(s: &mut Harness, customer: &str, plan: usize, units: f64, gatekeepers: u32) -> String {
+    s.submitted += 1;
+    let id = RequestId(format!("r-{}", s.submitted));
     let customer = CustomerId(customer.into());
     let (class, plan) = (Some(ClassId(0)), Some(PlanId(plan)));
     let name = id.0.clone();
@@ -40,20 +40,20 @@
     name
 }
 
-fn serve_all(s: &mut Stage) {
-    while !s.out.is_empty() {
-        s.done(Outcome::Ok);
+fn serve_all(s: &mut Harness) {
+    while !s.in_flight.is_empty() {
+        s.finish_oldest(Outcome::Ok);
     }
 }
 
-/// What gatekeepers that ask twice a second each send to a server that starts beside `warm` warm ones, by
-/// second of its life.
-fn sent_to_a_cold_server(gatekeepers: u32, warm: u64) -> BTreeMap<u64, usize> {
-    let figures = Settings { instances: gatekeepers, ..settings() };
+/// Runs gatekeepers with two requests a second each, and a server that starts beside `warm` warm ones.
+/// Returns the requests sent to it, by second since its start.
+fn sends_to_a_cold_server(gatekeepers: u32, warm: u64) -> BTreeMap<u64, usize> {
+    let config = Settings { instances: gatekeepers, ..settings() };
     let listed: Vec<u64> = (1..=warm).collect();
     let cold_id = warm + 1;
-    let mut fleet: Vec<Stage> =
-        (0..u64::from(gatekeepers)).map(|n| gatekeeper(n, &figures, &listed)).collect();
+    let mut fleet: Vec<Harness> =
+        (0..u64::from(gatekeepers)).map(|n| gatekeeper(n, &config, &listed)).collect();
     let mut by_second = BTreeMap::new();
     for step in 0..550u64 {
         for (n, s) in fleet.iter_mut().enumerate() {
@@ -62,9 +62,9 @@
             }
             let before = s.sends.len();
             if (step + n as u64).is_multiple_of(25) {
-                s.ask(&format!("c{n}-{step}"), 0, 0, 0.1);
+                s.submit(&format!("c{n}-{step}"), 0, 0, 0.1);
             }
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             let cold = s.sends[before..].iter().filter(|(_, _, w)| *w == cold_id).count();
             if step >= 100 {
                 *by_second.entry((step - 100) / 50).or_insert(0usize) += cold;
@@ -77,69 +77,69 @@
     by_second
 }
 
-/// What a server that does `warm` requests a second can do in a second of its life: a fifth at its start, all
-/// of it after ten.
+/// Capacity of a server that serves `warm` requests a second when warm, by second since its start: a fifth at
+/// the start, all of it after ten seconds.
 fn capacity(warm: f64, second: u64) -> f64 {
     warm * (0.2 + 0.08 * (second as f64 + 1.0))
 }
 
 #[test]
-fn three_hundred_gatekeepers_do_not_push_a_cold_server_over() {
-    // Warm servers have twenty requests a second. Past twice its capacity a cold one falls over.
-    let by_second = sent_to_a_cold_server(300, 30);
+fn three_hundred_gatekeepers_do_not_overload_a_cold_server() {
+    // Warm servers get twenty requests a second. A cold one fails above twice its capacity.
+    let by_second = sends_to_a_cold_server(300, 30);
     for (second, sent) in &by_second {
         let most = 2.0 * capacity(20.0, *second) + 2.0;
         assert!(*sent as f64 <= most, "second {second}: {sent} sent to the cold server");
     }
-    assert!(by_second.values().sum::<usize>() > 10, "it must get something: {by_second:?}");
+    assert!(by_second.values().sum::<usize>() > 10, "it must get some requests: {by_second:?}");
 }
 
 #[test]
-fn a_hundred_gatekeepers_together_send_a_cold_server_what_its_size_can_do() {
-    // Warm servers have forty requests a second, of which one gatekeeper sees less than one.
-    let by_second = sent_to_a_cold_server(100, 5);
+fn a_hundred_gatekeepers_together_use_a_cold_servers_capacity() {
+    // Warm servers get forty requests a second, of which one gatekeeper sees less than one.
+    let by_second = sends_to_a_cold_server(100, 5);
     for (second, sent) in &by_second {
         let most = 2.0 * capacity(40.0, *second) + 2.0;
         assert!(*sent as f64 <= most, "second {second}: {sent} sent to the cold server");
     }
     let (got, can): (usize, f64) =
         (by_second.values().sum(), by_second.keys().map(|second| capacity(40.0, *second)).sum());
-    assert!(got as f64 >= can / 2.0, "{got} sent where {can} could be done: {by_second:?}");
+    assert!(got as f64 >= can / 2.0, "{got} sent where {can} could be served: {by_second:?}");
 }
 
 #[test]
-fn three_hundred_gatekeepers_keep_a_ceiling_without_talking() {
-    let mut figures = fleet_settings();
-    figures.counter = false;
-    figures.plans[1] =
+fn three_hundred_gatekeepers_keep_a_ceiling_without_communicating() {
+    let mut config = fleet_settings();
+    config.counter = false;
+    config.plans[1] =
         Plan { ceiling_rate: 600.0, ceiling_burst: 1200.0, ceiling_slack: 120.0, ..Plan::default() };
-    let mut fleet: Vec<Stage> = (0..u64::from(GATEKEEPERS)).map(|n| gatekeeper(n, &figures, &[1])).collect();
-    // Left alone until all parts are full.
-    fleet.iter_mut().for_each(|s| s.pass(5 * S));
-    let (mut store, mut lowest) = (1200.0f64, 1200.0f64);
+    let mut fleet: Vec<Harness> = (0..u64::from(GATEKEEPERS)).map(|n| gatekeeper(n, &config, &[1])).collect();
+    // Idle until all buckets are full.
+    fleet.iter_mut().for_each(|s| s.advance(5 * S));
+    let (mut level, mut lowest) = (1200.0f64, 1200.0f64);
     for _ in 0..200 {
-        store = (store + 600.0 * 0.05).min(1200.0);
+        level = (level + 600.0 * 0.05).min(1200.0);
         for s in fleet.iter_mut() {
             let before = s.sends.len();
-            ask(s, "ada", 1, 2.0, GATEKEEPERS);
+            submit(s, "ada", 1, 2.0, GATEKEEPERS);
             serve_all(s);
-            s.pass(50 * MS);
-            store -= 2.0 * (s.sends.len() - before) as f64;
+            s.advance(50 * MS);
+            level -= 2.0 * (s.sends.len() - before) as f64;
             serve_all(s);
         }
-        lowest = lowest.min(store);
+        lowest = lowest.min(level);
     }
-    assert!(lowest >= -120.0, "the store fell to {lowest}");
+    assert!(lowest >= -120.0, "the level fell to {lowest}");
     assert!(lowest < 100.0, "the test must press against the ceiling: {lowest}");
 }
 
 #[test]
-fn a_share_below_one_request_waits_for_a_total_and_is_then_decided_by_it() {
+fn a_part_below_one_request_waits_for_a_total_that_decides() {
     for (already, served) in [(0.0, true), (30.0, false)] {
         let mut s = gatekeeper(5, &fleet_settings(), &[1]);
-        s.pass(2 * S);
-        let id = ask(&mut s, "ada", 0, 4.0, 150);
-        assert_eq!((s.sent(&id), s.calls.len()), (0, 1), "one call asks and counts");
+        s.advance(2 * S);
+        let id = submit(&mut s, "ada", 0, 4.0, 150);
+        assert_eq!((s.sent(&id), s.calls.len()), (0, 1), "one call both adds and reads");
         let name = s.calls[0].0.clone();
         s.event(Event::Counter { name, outcome: CounterOutcome::Total(already + s.calls[0].1) });
         assert_eq!(s.sent(&id) == 1, served, "{already} of 20 used by others");
@@ -148,102 +148,102 @@
 }
 
 #[test]
-fn shares_below_one_request_sum_to_the_quota_while_the_counter_is_away() {
-    let mut figures = fleet_settings();
-    figures.counter = false;
-    let mut fleet: Vec<Stage> = (0..100).map(|n| gatekeeper(n, &figures, &[1])).collect();
+fn parts_below_one_request_sum_to_the_quota_without_the_counter() {
+    let mut config = fleet_settings();
+    config.counter = false;
+    let mut fleet: Vec<Harness> = (0..100).map(|n| gatekeeper(n, &config, &[1])).collect();
     let mut later = 0.0;
     for second in 0..100u64 {
         for s in fleet.iter_mut() {
             let before = s.sends.len();
-            ask(s, "ada", 0, 2.0, 100);
+            submit(s, "ada", 0, 2.0, 100);
             serve_all(s);
-            s.pass(S);
+            s.advance(S);
             later += if second >= 40 { 2.0 * (s.sends.len() - before) as f64 } else { 0.0 };
         }
     }
     // 200 units a second asked, 10 a second allowed: over 60 s about 600.
-    assert!((300.0..=700.0).contains(&later), "{later} units let in over 60 s");
+    assert!((300.0..=700.0).contains(&later), "{later} units admitted over 60 s");
 }
 
 #[test]
-fn calls_of_many_gatekeepers_find_what_a_small_counter_can_take_and_come_back_after_an_outage() {
-    // A counter that answers 40 calls in each 100 ms at once and turns the rest away.
-    let figures = fleet_settings();
-    let mut fleet: Vec<Stage> = (0..u64::from(GATEKEEPERS)).map(|n| gatekeeper(n, &figures, &[1])).collect();
+fn the_call_rate_adapts_to_the_counters_capacity_and_recovers_after_an_outage() {
+    // A counter that answers 40 calls in each 100 ms and rejects the rest.
+    let config = fleet_settings();
+    let mut fleet: Vec<Harness> = (0..u64::from(GATEKEEPERS)).map(|n| gatekeeper(n, &config, &[1])).collect();
     let (mut asked, mut answered) = (vec![0; 30], vec![0; 30]);
     for step in 0..300u64 {
-        let mut room = if (150..200).contains(&step) { 0 } else { 40 };
+        let mut capacity_left = if (150..200).contains(&step) { 0 } else { 40 };
         for n in 0..fleet.len() {
-            // The order changes, so that no gatekeeper is always turned away.
+            // The order varies, so that no gatekeeper is always rejected.
             let at = (n + 37 * step as usize) % fleet.len();
             let s = &mut fleet[at];
-            ask(s, &format!("c{at}-{step}"), 0, 2.0, 150);
+            submit(s, &format!("c{at}-{step}"), 0, 2.0, 150);
             for (name, amount) in std::mem::take(&mut s.calls) {
-                let ok = room > 0;
-                room -= i32::from(ok);
+                let ok = capacity_left > 0;
+                capacity_left -= i32::from(ok);
                 asked[step as usize / 10] += 1;
                 answered[step as usize / 10] += i32::from(ok);
                 let outcome = if ok { CounterOutcome::Total(amount) } else { CounterOutcome::Refused };
                 s.event(Event::Counter { name, outcome });
             }
             serve_all(s);
-            s.pass(100 * MS);
+            s.advance(100 * MS);
         }
     }
     assert!(asked[0] <= 800, "{} calls in the first second", asked[0]);
     for second in [8, 11, 14, 26, 29] {
         assert!(answered[second] >= 200, "second {second}: {} of 400 answered", answered[second]);
-        assert!(asked[second] <= 900, "second {second}: {} calls where 400 can be taken", asked[second]);
+        assert!(asked[second] <= 900, "second {second}: {} calls where 400 can be answered", asked[second]);
     }
-    assert!(asked[19] <= asked[14], "fewer while it is away: {asked:?}");
+    assert!(asked[19] <= asked[14], "fewer during the outage: {asked:?}");
 }
 
 #[test]
 fn a_server_that_fails_one_class_is_avoided_for_that_class_only() {
     for silent in [false, true] {
-        let mut s = Stage::new(settings(), &[1, 2, 3]);
-        let mut at_bad = [0, 0];
+        let mut s = Harness::new(settings(), &[1, 2, 3]);
+        let mut at_failing = [0, 0];
         for step in 0..600u64 {
             let class = (step % 2) as usize * 2;
             let before = s.sends.len();
-            s.ask(&format!("c{step}"), class, 0, 1.0);
+            s.submit(&format!("c{step}"), class, 0, 1.0);
             for (_, _, w) in &s.sends[before..] {
-                at_bad[class / 2] += usize::from(*w == 1 && step >= 200);
+                at_failing[class / 2] += usize::from(*w == 1 && step >= 200);
             }
-            s.pass(20 * MS);
-            // Class 0 fails at server 1; odd requests are of class 2 there and are served.
-            let fails = |o: &Out| o.server == 1 && o.request.ends_with(['1', '3', '5', '7', '9']);
-            for o in std::mem::take(&mut s.out) {
+            s.advance(20 * MS);
+            // At server 1, class 0 fails; odd requests are of class 2 and are served.
+            let fails = |o: &InFlight| o.server == 1 && o.request.ends_with(['1', '3', '5', '7', '9']);
+            for o in std::mem::take(&mut s.in_flight) {
                 match (fails(&o), silent && s.answer_of(&o.request).is_none()) {
-                    (true, true) => s.out.push(o),
-                    (true, false) => s.end(o, if silent { Outcome::Cancelled } else { Outcome::Error }),
-                    (false, _) => s.end(o, Outcome::Ok),
+                    (true, true) => s.in_flight.push(o),
+                    (true, false) => s.finish(o, if silent { Outcome::Cancelled } else { Outcome::Error }),
+                    (false, _) => s.finish(o, Outcome::Ok),
                 }
             }
         }
-        assert!(at_bad[0] <= 20, "{} of the failing class sent there, silent: {silent}", at_bad[0]);
-        assert!(at_bad[1] >= 30, "{} of the other class sent there, silent: {silent}", at_bad[1]);
+        assert!(at_failing[0] <= 20, "{} of the failing class sent there, silent: {silent}", at_failing[0]);
+        assert!(at_failing[1] >= 30, "{} of the other class sent there, silent: {silent}", at_failing[1]);
     }
 }
 
 #[test]
-fn lost_answers_do_not_empty_the_fleet_nor_run_an_effect_twice() {
-    // Every fifth answer of all servers is lost; the keyed class stays in its cell and its window.
+fn lost_answers_neither_empty_the_fleet_nor_repeat_effects() {
+    // Every fifth answer of all servers is lost; the deduplicated class stays in its cell and its window.
     let cell = |id: u64| ServerInfo { cell: id % 3, ..server(id) };
-    let mut s = Stage::with(settings(), (1..=9).map(cell).collect());
+    let mut s = Harness::with(settings(), (1..=9).map(cell).collect());
     let mut class_of = BTreeMap::new();
     for step in 0..900u64 {
         let class = (step % 3) as usize;
-        class_of.insert(s.ask(&format!("c{step}"), class, 0, 1.0), class);
-        s.pass(20 * MS);
-        let (due, rest) = std::mem::take(&mut s.out).into_iter().partition(|o: &Out| {
+        class_of.insert(s.submit(&format!("c{step}"), class, 0, 1.0), class);
+        s.advance(20 * MS);
+        let (due, rest) = std::mem::take(&mut s.in_flight).into_iter().partition(|o: &InFlight| {
             let n = o.request.trim_start_matches("r-").parse::<u64>().unwrap();
             !(n + o.attempt as u64).is_multiple_of(5)
         });
-        s.out = rest;
-        let due: Vec<Out> = due;
-        due.into_iter().for_each(|o| s.end(o, Outcome::Ok));
+        s.in_flight = rest;
+        let due: Vec<InFlight> = due;
+        due.into_iter().for_each(|o| s.finish(o, Outcome::Ok));
     }
     let mut used: Vec<u64> = s.sends[s.sends.len() - 200..].iter().map(|(_, _, w)| *w).collect();
     used.sort_unstable();
@@ -261,17 +261,17 @@
     assert!(refused <= 20, "{refused} of 900 refused");
 }
 
-/// The servers that each gatekeeper sends to, one request at a time.
+/// The servers that each gatekeeper sends to, submitting one request at a time.
 fn used_by(gatekeepers: u32, servers: Vec<ServerInfo>, requests: usize) -> Vec<BTreeMap<u64, usize>> {
     let gatekeeper = |me: u32| {
-        let figures = Settings { instances: gatekeepers, me, counter: false, ..settings() };
-        let mut s = Stage::with(figures.clone(), Vec::new());
-        s.keeper = Gatekeeper::new(figures, u64::from(me), START);
+        let config = Settings { instances: gatekeepers, me, counter: false, ..settings() };
+        let mut s = Harness::with(config.clone(), Vec::new());
+        s.gatekeeper = Gatekeeper::new(config, u64::from(me), START);
         s.list(ListScope::Full, servers.clone());
         for n in 0..requests {
-            s.ask(&format!("c{n}"), 0, 0, 0.01);
-            // As long as a gatekeeper expects at first.
-            s.pass(125 * MS);
+            s.submit(&format!("c{n}"), 0, 0, 0.01);
+            // The latency that a gatekeeper initially expects.
+            s.advance(125 * MS);
             serve_all(&mut s);
         }
         let mut used = BTreeMap::new();
@@ -281,13 +281,13 @@
     (0..gatekeepers).map(gatekeeper).collect()
 }
 
-/// Servers as they are listed: their ids tell nothing, their places the same to all.
+/// Listed servers: ids carry no order, and sort keys are the same at every gatekeeper.
 fn placed(ids: impl Iterator<Item = u64>) -> Vec<ServerInfo> {
     ids.map(|id| ServerInfo { place: hash(&format!("s-{id}")), ..server(id) }).collect()
 }
 
 #[test]
-fn each_of_many_gatekeepers_sends_to_a_few_servers_and_all_of_them_alike() {
+fn many_gatekeepers_send_to_even_subsets_of_the_servers() {
     let mut at_each = BTreeMap::new();
     for used in used_by(100, placed(1..=60), 120) {
         assert!((7..=8).contains(&used.len()), "one gatekeeper sends to {}", used.len());
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_change_of_the_list_moves_few_of_a_gatekeepers_servers() {
+fn a_list_change_replaces_few_servers_of_a_subset() {
     let before = used_by(100, placed(1..=60), 120);
     // Six of sixty replaced.
     let after = used_by(100, placed(7..=66), 120);
@@ -306,7 +306,7 @@
         a.keys().filter(|w| b.contains_key(w)).count()
     };
     let kept: usize = before.iter().zip(&after).map(kept).sum();
-    // Windows drawn anew would have 96 in common.
+    // Subsets drawn at random would have 96 in common.
     assert!(kept >= 350, "{kept} of 800 kept where 720 could be");
 }
 
@@ -318,18 +318,19 @@
 }
 
 #[test]
-fn cold_servers_count_by_their_coldness_in_what_may_be_out() {
+fn cold_servers_count_by_their_warmth_in_the_concurrency_limit() {
     let out = |cold: u64| {
-        let figures = Settings { instances: 100, counter: false, ..settings() };
-        let mut s = gatekeeper(3, &figures, &[]);
+        let config = Settings { instances: 100, counter: false, ..settings() };
+        let mut s = gatekeeper(3, &config, &[]);
         let started = |id| (id <= cold).then_some(s.now);
         let servers = (1..=60).map(|id| ServerInfo { started: started(id), ..server(id) }).collect();
         s.list(ListScope::Full, servers);
         for n in 0..20 {
-            s.ask(&format!("c{n}"), 0, 0, 0.01);
+            s.submit(&format!("c{n}"), 0, 0, 0.01);
         }
-        s.out.len()
+        s.in_flight.len()
     };
-    // Four at each of sixty, by a hundred: 2.4 each. With forty at a fifth, 28 are left: 1.1 each.
+    // Four at each of sixty, over a hundred gatekeepers: 2.4 each. With forty at a fifth, 28 are left: 1.1
+    // each.
     assert_eq!((out(0), out(40)), (3, 2));
 }
--- a/crates/decisions/tests/module_size.rs
+++ b/crates/decisions/tests/module_size.rs
@@ -1,9 +1,9 @@
-//! The decision module stays small enough to be read in one sitting, and names its interface first.
+//! Limits on the size of the policy module, and a check that its first lines name the interface.
 
 use std::fs;
 use std::path::Path;
 
-/// The files that the deployment names as holding the decisions, with their texts.
+/// The files that the deployment lists as the policy module, with their contents.
 fn module() -> Vec<(String, String)> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let deploy = fs::read_to_string(root.join("deploy/balancer.toml")).unwrap();
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_module_holds_1200_lines_of_110_characters_at_most() {
+fn the_module_has_at_most_1200_lines_of_110_characters() {
     let module = module();
     let lines = module.iter().flat_map(|(_, text)| text.lines()).filter(|line| !line.trim().is_empty());
     let lines = lines.count();
@@ -26,16 +26,18 @@
 }
 
 #[test]
-fn its_first_lines_name_the_interface() {
+fn the_first_lines_name_the_interface() {
     let (_, text) = module().into_iter().find(|(name, _)| name.ends_with("mod.rs")).unwrap();
     assert!(text.lines().take(3).any(|line| line.contains("api.rs")));
 }
 
 #[test]
-fn the_deployment_names_every_file_of_the_module() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/gatekeeper");
-    let mut files: Vec<String> =
-        fs::read_dir(folder).unwrap().map(|file| file.unwrap().file_name().into_string().unwrap()).collect();
+fn the_deployment_lists_every_file_of_the_module() {
+    let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/gatekeeper");
+    let mut files: Vec<String> = fs::read_dir(directory)
+        .unwrap()
+        .map(|file| file.unwrap().file_name().into_string().unwrap())
+        .collect();
     let mut named: Vec<String> =
         module().iter().map(|(name, _)| name.rsplit('/').next().unwrap().to_owned()).collect();
     files.sort();
