--- a/crates/decisions/src/gatekeeper/counter.rs
+++ b/crates/decisions/src/gatekeeper/counter.rs
@@ -8,7 +8,7 @@
 /// Calls in flight at most: bounds what an unresponsive counter can lose at once.
 const MAX_CALLS: usize = 32;
 /// Factors on the call interval after a failed or late call, after a good one while above the interval last
-/// known to work, and after a quick one otherwise; its maximum is twice the latter, or this many µs if longer.
+/// known to work, and after a quick one otherwise; its maximum is twice the latter, at least this many µs.
 const PACING: (f64, f64, f64, f64) = (1.3, 0.7, 0.85, 1e5);
 /// Shortest interval between calls, µs.
 const MIN_CALL_INTERVAL: f64 = 500.0;
