--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every program of the project stands on: its start, its log, waits between tries, connections to
-//! others.
+//! Helpers shared by all programs of the workspace: program startup, rate-limited logging, retry backoff and
+//! TCP connections.
 
 pub mod linger;
 pub mod wire;
@@ -10,24 +10,26 @@
 use tokio::task::{spawn_local, JoinError, LocalSet};
 use tokio::time::Duration;
 
-/// Pause where the system has no descriptor left for a new connection.
+/// Pause before the next `accept` after one has failed because the process or system is out of file
+/// descriptors.
 pub const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Why a program ends with a failure.
+/// Why a program exits with a failure.
 #[derive(Debug, Error)]
 enum Failure<L, S> {
     #[error(transparent)]
     Load(L),
-    #[error("no runtime: {0}")]
+    #[error("can't start the async runtime: {0}")]
     Runtime(std::io::Error),
-    #[error("its task: {0}")]
+    #[error("the main task failed: {0}")]
     Task(JoinError),
     #[error(transparent)]
     Serve(S),
 }
 
-/// Runs a program of one thread to its end: what `load` gives is served. A failure is one line on standard error,
-/// and exit status 1.
+/// Runs a single-threaded program until it finishes: passes the value that `load` returns to `serve`. A
+/// failure is reported as one line on standard error, and the exit status is 1. A panic in any task ends the
+/// process with status 101.
 pub fn run<T, L, S, F>(
     program: &str,
     load: impl FnOnce() -> Result<T, L>,
@@ -38,17 +40,19 @@
     S: std::error::Error + 'static,
     F: Future<Output = Result<(), S>> + 'static,
 {
-    // Requests would wait for ever behind a port that still accepts: better to end and be started again.
-    let report = std::panic::take_hook();
+    // After a panic in a task the port could still accept connections whose requests would wait forever, so
+    // the process exits and is restarted.
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
-        report(panic);
+        default_hook(panic);
         std::process::exit(101);
     }));
     let run = || -> Result<(), Failure<L, S>> {
         let loaded = load().map_err(Failure::Load)?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(Failure::Runtime)?;
-        // As a task of its own: what `block_on` is given itself is polled at every turn of the loop.
+        // Spawned as a separate task, because the future given to `block_on` itself is polled at every
+        // iteration of the event loop.
         let served = async { spawn_local(serve(loaded)).await };
         LocalSet::new().block_on(&runtime, served).map_err(Failure::Task)?.map_err(Failure::Serve)
     };
@@ -61,72 +65,78 @@
     }
 }
 
-/// Has the system end a connection whose peer acknowledges nothing for so long. Where it does not, that is
-/// said once, and time limits of our own hold.
+/// Sets TCP_USER_TIMEOUT: the kernel closes the connection if sent data stays unacknowledged for `time`. If
+/// the option can't be set, that is logged once per `refused` counter, and only the program's own timeouts
+/// apply.
 pub fn set_user_timeout(stream: &tokio::net::TcpStream, time: Duration, refused: &std::cell::Cell<u64>) {
     if let Err(e) = rustix::net::sockopt::set_tcp_user_timeout(stream, time.as_millis() as u32) {
         if refused.replace(1) == 0 {
-            eprintln!("granitelead: no limit on data that is not acknowledged: {e}");
+            eprintln!("granitelead: can't set TCP_USER_TIMEOUT: {e}");
         }
     }
 }
 
-/// Reports something odd from outside, sparsely: what repeats says so at powers of two only.
-pub fn note(count: &std::cell::Cell<u64>, what: impl std::fmt::Display) {
+/// Logs a recurring event at a reduced rate: only when its count, which this increments, is a power of two.
+pub fn note(count: &std::cell::Cell<u64>, message: impl std::fmt::Display) {
     count.set(count.get() + 1);
     if count.get().is_power_of_two() {
-        eprintln!("granitelead: {what} (time {})", count.get());
+        eprintln!("granitelead: {message} (occurrence {})", count.get());
     }
 }
 
-/// A plain decimal number above 0, and nothing else: a sign, an exponent or a word is no amount of anything.
+/// Parses a positive number in plain decimal notation. Signs, exponents and names such as `inf` are rejected.
 pub fn decimal(text: &str) -> Option<f64> {
-    let plain = text.len() <= 32 && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    text.parse().ok().filter(|n: &f64| plain && *n > 0.0)
+    let is_plain = text.len() <= 32 && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    text.parse().ok().filter(|n: &f64| is_plain && *n > 0.0)
 }
 
-/// Waits between tries at a peer that may be down: doubling up to a longest, so that it is neither flooded
-/// nor missed, and drawn at random, so that gatekeepers that lost it together do not come back together.
+/// Exponential backoff with jitter between attempts to reach a peer that may be down. The mean wait doubles
+/// up to a maximum, so that the peer is not flooded yet its return is noticed soon; the wait is random, so
+/// that gatekeepers that lost the peer at the same time don't all return at the same time.
 pub struct Backoff {
-    first: Duration,
-    longest: Duration,
-    next: Duration,
+    initial_mean: Duration,
+    max_mean: Duration,
+    next_mean: Duration,
     rng: fastrand::Rng,
 }
 
 impl Backoff {
-    const FIRST: Duration = Duration::from_millis(50);
-    const LONGEST: Duration = Duration::from_secs(1);
-    /// What a gatekeeper adds to the mean waits of all at a peer that they share.
-    const EACH: (Duration, Duration) = (Duration::from_millis(25), Duration::from_millis(100));
+    const INITIAL_MEAN: Duration = Duration::from_millis(50);
+    const MAX_MEAN: Duration = Duration::from_secs(1);
+    /// Initial and maximum mean wait per gatekeeper, for a peer that all gatekeepers share.
+    const SHARED_MEAN_PER_GATEKEEPER: (Duration, Duration) =
+        (Duration::from_millis(25), Duration::from_millis(100));
 
-    /// For a peer that takes a try without much work; `seed` draws.
+    /// Backoff for a peer for which an attempt is cheap. `seed` seeds the jitter.
     pub fn new(seed: u64) -> Self {
         Backoff::shared(1, Duration::MAX, seed)
     }
 
-    /// For a peer of which each try takes work that it does for so many gatekeepers: their tries stay about
-    /// as many in a second, however many they are, as long as the first comes within half of `within` and
-    /// each further one within twice that.
+    /// Backoff for a peer that `gatekeepers` gatekeepers share and for which each attempt takes work. The
+    /// waits grow with the number of gatekeepers, so that their attempts per second stay about the same,
+    /// within these limits: the first wait is at most half of `within`, each further one at most twice
+    /// `within`.
     pub fn shared(gatekeepers: u32, within: Duration, seed: u64) -> Self {
-        let first = Self::FIRST.max((Self::EACH.0 * gatekeepers).min(within / 4));
-        let longest = Self::LONGEST.max((Self::EACH.1 * gatekeepers).min(within));
-        Backoff { first, longest, next: first, rng: fastrand::Rng::with_seed(seed) }
+        let (initial_each, max_each) = Self::SHARED_MEAN_PER_GATEKEEPER;
+        let initial_mean = Self::INITIAL_MEAN.max((initial_each * gatekeepers).min(within / 4));
+        let max_mean = Self::MAX_MEAN.max((max_each * gatekeepers).min(within));
+        let rng = fastrand::Rng::with_seed(seed);
+        Backoff { initial_mean, max_mean, next_mean: initial_mean, rng }
     }
 
-    /// Starts again with the shortest wait.
+    /// Resets the mean wait to its initial value.
     pub fn reset(&mut self) {
-        self.next = self.first;
+        self.next_mean = self.initial_mean;
     }
 
-    /// The next wait: anything up to twice the mean, which doubles.
+    /// Returns the next wait, uniformly distributed up to twice the mean, and doubles the mean.
     pub fn draw(&mut self) -> Duration {
-        let mean = self.next;
-        self.next = (mean * 2).min(self.longest);
+        let mean = self.next_mean;
+        self.next_mean = (mean * 2).min(self.max_mean);
         mean.mul_f64(2.0 * self.rng.f64())
     }
 
-    /// Waits, the longer the more often in a row.
+    /// Sleeps for the next wait.
     pub async fn wait(&mut self) {
         tokio::time::sleep(self.draw()).await;
     }
@@ -138,8 +148,9 @@
 
     const WITHIN: Duration = Duration::from_secs(10);
 
-    /// Tries in each second of a minute, of gatekeepers that lose a peer together and never reach it.
-    fn tries(gatekeepers: u32) -> Vec<usize> {
+    /// Attempts in each second of a minute by gatekeepers that lose a peer at the same time and never reach
+    /// it again.
+    fn attempts_by_second(gatekeepers: u32) -> Vec<usize> {
         let mut by_second = vec![0; 60];
         for gatekeeper in 0..gatekeepers {
             let mut backoff = Backoff::shared(gatekeepers, WITHIN, u64::from(gatekeeper));
@@ -153,17 +164,20 @@
     }
 
     #[test]
-    fn many_gatekeepers_do_not_flood_what_they_share() {
-        let many = tries(100);
+    fn many_gatekeepers_do_not_flood_a_shared_peer() {
+        let many = attempts_by_second(100);
         assert!(many.iter().all(|n| *n <= 40), "{many:?}");
         assert!(many[10..].iter().sum::<usize>() <= 50 * 15, "{many:?}");
-        assert!(many[10..].iter().sum::<usize>() >= 50 * 5, "they must go on: {many:?}");
-        let few = tries(3);
-        assert!(few[10..].iter().sum::<usize>() >= 100, "a few may ask once a second each: {few:?}");
+        assert!(many[10..].iter().sum::<usize>() >= 50 * 5, "attempts must continue: {many:?}");
+        let few = attempts_by_second(3);
+        assert!(
+            few[10..].iter().sum::<usize>() >= 100,
+            "a few gatekeepers may each try about once a second: {few:?}"
+        );
     }
 
     #[test]
-    fn however_many_gatekeepers_each_asks_within_the_time_that_the_rules_leave() {
+    fn shared_waits_stay_within_their_limits_for_any_number_of_gatekeepers() {
         for gatekeepers in [1, 100, 300, 10_000] {
             for seed in 0..300 {
                 let mut backoff = Backoff::shared(gatekeepers, WITHIN, seed);
@@ -174,7 +188,7 @@
     }
 
     #[test]
-    fn waits_grow_to_a_cap_and_start_again() {
+    fn waits_grow_to_a_maximum_and_can_be_reset() {
         let mut backoff = Backoff::new(7);
         let waits: Vec<Duration> = (0..200).map(|_| backoff.draw()).collect();
         assert!(waits[0] <= Duration::from_millis(100), "{waits:?}");
--- a/crates/base/src/linger.rs
+++ b/crates/base/src/linger.rs
@@ -1,12 +1,12 @@
-//! Lingering close of a client's connection.
+//! Lingering close of a client connection.
 //!
-//! A socket that is closed while received bytes are unread is reset, and a reset may destroy an answer that is still
-//! on its way to the client. So the sending side is shut down first, and the socket stays open until the client has
-//! closed its side, or until the last answer has surely been delivered.
+//! Closing a socket that has unread received bytes resets the connection, and a reset can discard a response
+//! that is still in transit to the client. So the write side is shut down first, and the socket stays open
+//! until the client closes its side or enough time has passed for the last response to be delivered.
 //!
-//! Whole requests that arrive meanwhile are left unread: their clients see the connection end and send them again
-//! elsewhere. Only the rest of a body whose request has been answered already is read and dropped, so that a client
-//! that writes before it reads gets to its answer.
+//! Complete requests that arrive meanwhile are left unread: their clients see the connection close and retry
+//! them elsewhere. Only the rest of a body whose request has already been answered is read and discarded, so
+//! that a client that writes its whole body before it reads still receives the response.
 
 use std::future::Future;
 use std::io;
@@ -17,32 +17,33 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// Longest wait for the client to close its side.
+/// Maximum wait for the client to close its side.
 const LINGER_MAX: Duration = Duration::from_secs(2);
-/// Time for an answer to be delivered once the client is known to have sent more: some round trips over a busy link.
-const DELIVERY: Duration = Duration::from_millis(500);
-/// Bytes dropped at a time.
-const DISCARD_SIZE: usize = 4 << 10;
+/// Time allowed for a response to be delivered once the client has sent more data: some round trips over a
+/// busy link.
+const DELIVERY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Size of the buffer for discarded data, in bytes.
+const DISCARD_BUFFER_SIZE: usize = 4 << 10;
 
-/// A connection whose sending side has been shut down.
+/// Lingering close of one connection whose write side has been shut down.
 pub struct Linger {
     timer: Pin<Box<Sleep>>,
-    discards: bool,
-    has_unread: bool,
+    discards_input: bool,
+    has_unread_input: bool,
 }
 
 impl Linger {
-    /// Starts to linger. `discards` has what still comes read and dropped.
-    pub fn new(discards: bool) -> Linger {
-        Linger { timer: Box::pin(sleep(LINGER_MAX)), discards, has_unread: false }
+    /// Starts the linger timer. With `discards_input`, data that still arrives is read and discarded.
+    pub fn new(discards_input: bool) -> Linger {
+        Linger { timer: Box::pin(sleep(LINGER_MAX)), discards_input, has_unread_input: false }
     }
 
     /// Completes when the socket may be closed.
     pub fn poll(&mut self, cx: &mut Context, stream: &mut TcpStream) -> Poll<io::Result<()>> {
-        let is_closed = if self.discards {
+        let is_closed = if self.discards_input {
             discard(cx, stream).is_ready()
         } else {
-            !self.has_unread && self.peek(cx, stream).is_ready()
+            !self.has_unread_input && self.peek(cx, stream).is_ready()
         };
         if is_closed {
             return Poll::Ready(Ok(()));
@@ -50,16 +51,17 @@
         self.timer.as_mut().poll(cx).map(Ok)
     }
 
-    /// Ready when the client has closed its side. Notes when it has sent something instead.
+    /// Ready when the client has closed its side. If it has sent data instead, shortens the timer so that
+    /// only the last response has time to be delivered.
     fn peek(&mut self, cx: &mut Context, stream: &mut TcpStream) -> Poll<()> {
         let mut byte = [0];
         match ready!(stream.poll_peek(cx, &mut ReadBuf::new(&mut byte))) {
             Ok(0) | Err(_) => Poll::Ready(()),
             Ok(_) => {
-                self.has_unread = true;
-                let delivered = Instant::now() + DELIVERY;
-                if delivered < self.timer.deadline() {
-                    self.timer.as_mut().reset(delivered);
+                self.has_unread_input = true;
+                let deadline = Instant::now() + DELIVERY_TIMEOUT;
+                if deadline < self.timer.deadline() {
+                    self.timer.as_mut().reset(deadline);
                 }
                 Poll::Pending
             }
@@ -67,9 +69,9 @@
     }
 }
 
-/// Drops what has come. Ready when the client has closed its side.
+/// Reads and discards available input. Ready when the client has closed its side.
 fn discard(cx: &mut Context, stream: &mut TcpStream) -> Poll<()> {
-    let mut bytes = [0; DISCARD_SIZE];
+    let mut bytes = [0; DISCARD_BUFFER_SIZE];
     loop {
         let mut buf = ReadBuf::new(&mut bytes);
         match ready!(Pin::new(&mut *stream).poll_read(cx, &mut buf)) {
--- a/crates/base/src/wire.rs
+++ b/crates/base/src/wire.rs
@@ -1,4 +1,5 @@
-//! A TCP connection that counts what it has written and can be closed at once from outside.
+//! A TCP connection that counts the bytes it has written and can be closed immediately from outside the task
+//! that drives it.
 
 use crate::set_user_timeout;
 use std::cell::{Cell, RefCell};
@@ -11,15 +12,15 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// One of a bounded number of places; free again when dropped.
+/// One slot of a bounded number, released when dropped.
 pub struct Place(Rc<Cell<usize>>);
 
 impl Place {
-    /// Takes a place if fewer than `most` are taken.
-    pub fn take(taken: &Rc<Cell<usize>>, most: usize) -> Option<Place> {
-        (taken.get() < most).then(|| {
-            taken.set(taken.get() + 1);
-            Place(taken.clone())
+    /// Takes a slot if fewer than `limit` are in use.
+    pub fn take(in_use: &Rc<Cell<usize>>, limit: usize) -> Option<Place> {
+        (in_use.get() < limit).then(|| {
+            in_use.set(in_use.get() + 1);
+            Place(in_use.clone())
         })
     }
 }
@@ -30,71 +31,79 @@
     }
 }
 
-/// The part of a connection that stays in hand while the HTTP library drives the rest.
+/// Handle to a connection while the HTTP library reads and writes it through [`WireIo`].
 pub struct Wire {
     stream: RefCell<Option<(TcpStream, Place)>>,
     written: Cell<u64>,
-    /// How much will have been written with a request's last byte, and the count of requests so written.
-    expected: Cell<Option<u64>>,
-    whole: Rc<Cell<u64>>,
+    /// Value of `written` at which the current request is completely written.
+    request_end: Cell<Option<u64>>,
+    /// Number of requests that have been completely written; may be shared by several connections.
+    requests_written: Rc<Cell<u64>>,
     driver: RefCell<Option<AbortHandle>>,
-    /// The peer acknowledged nothing for too long.
-    silent: Cell<bool>,
+    /// Whether the connection failed because the peer acknowledged no data within the user timeout.
+    timed_out: Cell<bool>,
 }
 
 impl Wire {
-    /// Takes a connection in.
-    pub fn new(stream: TcpStream, place: Place) -> Rc<Wire> {
-        Wire::counting(stream, place, Rc::default())
-    }
-
-    /// Takes a connection in whose requests count in `whole` once they are written.
-    pub fn counting(stream: TcpStream, place: Place, whole: Rc<Cell<u64>>) -> Rc<Wire> {
-        let (stream, driver) = (RefCell::new(Some((stream, place))), RefCell::default());
-        let silent = Cell::new(false);
-        Rc::new(Wire { stream, written: Cell::new(0), expected: Cell::new(None), whole, driver, silent })
+    /// Wraps a connection.
+    pub fn new(stream: TcpStream, slot: Place) -> Rc<Wire> {
+        Wire::counting(stream, slot, Rc::default())
+    }
+
+    /// Wraps a connection that increments `requests_written` each time a request has been completely written.
+    pub fn counting(stream: TcpStream, slot: Place, requests_written: Rc<Cell<u64>>) -> Rc<Wire> {
+        let (stream, driver) = (RefCell::new(Some((stream, slot))), RefCell::default());
+        let timed_out = Cell::new(false);
+        Rc::new(Wire {
+            stream,
+            written: Cell::new(0),
+            request_end: Cell::new(None),
+            requests_written,
+            driver,
+            timed_out,
+        })
     }
 
-    /// Says that a request begins, which is whole with this many bytes written.
+    /// Announces a request that is complete once `written` bytes have been written in total.
     pub fn expect(&self, written: u64) {
-        self.expected.set(Some(written));
+        self.request_end.set(Some(written));
     }
 
-    /// Names the task that drives it, which ends with it.
+    /// Sets the task that drives the connection; it is aborted when the connection is closed.
     pub fn driven_by(&self, task: AbortHandle) {
         *self.driver.borrow_mut() = Some(task);
     }
 
-    /// Has the system end it when nothing is acknowledged for so long.
+    /// Sets TCP_USER_TIMEOUT, see [`set_user_timeout`].
     pub fn set_user_timeout(&self, time: Duration, refused: &Cell<u64>) {
         if let Some((stream, _)) = &*self.stream.borrow() {
             set_user_timeout(stream, time, refused);
         }
     }
 
-    /// Whether it has ended because the peer acknowledged nothing.
+    /// Whether the connection failed because the peer acknowledged no data within the user timeout.
     pub fn is_silent(&self) -> bool {
-        self.silent.get()
+        self.timed_out.get()
     }
 
-    /// Bytes that the system has taken for sending so far.
+    /// Number of bytes written to the socket so far.
     pub fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// Whether the connection is open and nothing has come that is not read yet, as the system knows it now: the
-    /// runtime may learn of it later.
+    /// Whether the connection is open and has no unread input. Asks the kernel directly, since the runtime
+    /// may learn of input or a close later.
     pub fn is_quiet(&self) -> bool {
         use rustix::net::{recv, RecvFlags};
         let mut byte = [0_u8; 1];
         let stream = self.stream.borrow();
         let Some((stream, _)) = &*stream else { return false };
-        let came = recv(stream, &mut byte[..], RecvFlags::PEEK | RecvFlags::DONTWAIT);
-        matches!(came, Err(rustix::io::Errno::AGAIN))
+        let peeked = recv(stream, &mut byte[..], RecvFlags::PEEK | RecvFlags::DONTWAIT);
+        matches!(peeked, Err(rustix::io::Errno::AGAIN))
     }
 
-    /// Closes the connection before this returns. Merely ending the tasks round it would leave it open until
-    /// they are next run, and a further attempt could meet this one still out.
+    /// Closes the connection before returning. Aborting only the tasks that use it would leave it open until
+    /// they next run, and a further attempt could start while this one is still open.
     pub fn close(&self) {
         drop(self.stream.borrow_mut().take());
         if let Some(task) = self.driver.borrow_mut().take() {
@@ -108,7 +117,7 @@
             None => Poll::Ready(Err(io::ErrorKind::NotConnected.into())),
         };
         if matches!(&polled, Poll::Ready(Err(e)) if e.kind() == io::ErrorKind::TimedOut) {
-            self.silent.set(true);
+            self.timed_out.set(true);
         }
         polled
     }
@@ -116,21 +125,21 @@
     fn count(&self, polled: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(n)) = polled {
             self.written.set(self.written.get() + n as u64);
-            if self.expected.get().is_some_and(|least| self.written.get() >= least) {
-                self.expected.set(None);
-                self.whole.set(self.whole.get() + 1);
+            if self.request_end.get().is_some_and(|end| self.written.get() >= end) {
+                self.request_end.set(None);
+                self.requests_written.set(self.requests_written.get() + 1);
             }
         }
         polled
     }
 }
 
-/// The side of a [`Wire`] that the HTTP library reads and writes.
+/// The reader and writer of a [`Wire`] that is given to the HTTP library.
 pub struct WireIo(pub Rc<Wire>);
 
 impl Drop for WireIo {
     fn drop(&mut self) {
-        // The library is done with it: no descriptor may outlive that.
+        // The library has finished with the connection: its descriptor must not stay open.
         drop(self.0.stream.borrow_mut().take());
     }
 }
--- a/crates/base/tests/linger.rs
+++ b/crates/base/tests/linger.rs
@@ -1,4 +1,4 @@
-//! A connection that lingers: what it waits for, and what it leaves unread.
+//! Lingering close: how long it waits for the client, and which input it leaves unread.
 
 use googletest::prelude::*;
 use granitelead_base::linger::Linger;
@@ -8,7 +8,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// Lets a connection linger whose client does something. Gives how long that took, ms, and what was left unread.
+/// Runs a lingering close while the client runs `client`. Returns how long it took, in ms, and the number of
+/// bytes left unread.
 fn linger(discards: bool, client: impl AsyncFnOnce(&mut TcpStream)) -> (u128, usize) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     runtime.unwrap().block_on(async {
@@ -16,25 +17,25 @@
         let mut peer = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         let (mut stream, _) = listener.accept().await.unwrap();
         stream.shutdown().await.unwrap();
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut linger = Linger::new(discards);
         let lingering = poll_fn(|cx| linger.poll(cx, &mut stream));
-        let (ended, ()) = tokio::join!(lingering, client(&mut peer));
-        ended.unwrap();
-        let took = begun.elapsed().as_millis();
+        let (result, ()) = tokio::join!(lingering, client(&mut peer));
+        result.unwrap();
+        let elapsed_ms = started.elapsed().as_millis();
         let unread = stream.try_read(&mut [0; 64]).unwrap_or(0);
-        (took, unread)
+        (elapsed_ms, unread)
     })
 }
 
-async fn after(ms: u64) {
+async fn sleep_ms(ms: u64) {
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
 #[gtest]
-fn it_ends_when_the_client_closes() {
+fn linger_ends_when_the_client_closes() {
     let closes = async |peer: &mut TcpStream| {
-        after(100).await;
+        sleep_ms(100).await;
         peer.shutdown().await.unwrap();
     };
     for discards in [false, true] {
@@ -43,31 +44,31 @@
 }
 
 #[gtest]
-fn a_client_that_does_nothing_is_waited_for_within_bounds() {
+fn the_wait_for_an_idle_client_is_bounded() {
     for discards in [false, true] {
         expect_that!(linger(discards, async |_| {}), eq((2_000, 0)));
     }
 }
 
 #[gtest]
-fn a_request_that_comes_is_left_unread_and_answers_before_it_have_time_to_arrive() {
+fn a_further_request_is_left_unread_and_earlier_responses_have_time_to_arrive() {
     let sends = async |peer: &mut TcpStream| {
-        after(100).await;
+        sleep_ms(100).await;
         peer.write_all(b"GET /").await.unwrap();
     };
     expect_that!(linger(false, sends), eq((600, 5)));
     let sends_late = async |peer: &mut TcpStream| {
-        after(1_900).await;
+        sleep_ms(1_900).await;
         peer.write_all(b"GET /").await.unwrap();
     };
     expect_that!(linger(false, sends_late), eq((2_000, 5)));
 }
 
 #[gtest]
-fn the_rest_of_a_body_is_dropped_until_the_client_closes() {
+fn the_rest_of_a_body_is_discarded_until_the_client_closes() {
     let sends_all = async |peer: &mut TcpStream| {
         for _ in 0..10 {
-            after(30).await;
+            sleep_ms(30).await;
             peer.write_all(&[b'b'; 10_000]).await.unwrap();
         }
         peer.shutdown().await.unwrap();
