--- a/crates/list/src/follower.rs
+++ b/crates/list/src/follower.rs
@@ -1,7 +1,8 @@
-//! Watches on the list: one source at a time, for ever.
+//! Follows the server list: keeps a watch open on one source at a time and switches to the next one when it
+//! fails.
 
 use crate::forms::{HostList, Refused, Revision, HOSTS, OVERLOADED, REVISION};
-use crate::sources::{Heard, Odd, Sources};
+use crate::sources::{SourceError, Sources, UpdateDecision};
 use bytes::{Bytes, BytesMut};
 use granitelead_base::wire::{Place, Wire, WireIo};
 use granitelead_base::{note, Backoff};
@@ -22,192 +23,201 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout, Duration, Instant};
 
-/// Silence after which a watch is dead: an empty line is due every 2 s. What a dead one holds back counts as
-/// told 6 s later, or 4 s after a reload, and the watch after it may be dead too.
-const SILENT: Duration = Duration::from_millis(2_500);
-/// Time to connect to an agent on this machine, and again for the head of its answer.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Time for the head of an answer for each gatekeeper that may stand in line before: a call that is given up
-/// is worked on all the same, and asked again after that.
-const IN_LINE: Duration = Duration::from_millis(30);
-/// The longest reason for a refusal that is read, bytes.
-const REFUSAL_MAX: usize = 4 << 10;
-/// The longest line; a list of thousands of servers is shorter.
+/// Time without any data after which a watch is considered dead; an empty line is due every 2 s as a
+/// heartbeat. An update withheld by a dead watch counts as delivered after 6 s, or 4 s after a reload, and
+/// the next watch may be dead too.
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Timeout for connecting, and for the response head of a discovery agent on the same machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time added to the timeout for a response head for each gatekeeper whose request may be queued before this
+/// one. A request that times out is processed by the service all the same, and repeating it only adds load.
+const RESPONSE_TIME_PER_GATEKEEPER: Duration = Duration::from_millis(30);
+/// Maximum size of an error response, in bytes.
+const ERROR_BODY_MAX: usize = 4 << 10;
+/// Maximum length of a line, in bytes; a list of thousands of servers is shorter.
 pub const LINE_MAX: usize = 4 << 20;
-/// The longest drawn wait before another source is asked about a list of hardly any server.
-const DOUBT_WAIT: Duration = Duration::from_millis(250);
-/// Time for its answer. A drain is owed within 1 s of the line that tells it.
-const DOUBT_ANSWER: Duration = Duration::from_millis(300);
-/// Another source is asked for its version after one to two times this, and for each gatekeeper that.
-const COMPARE: (Duration, Duration) = (Duration::from_secs(20), Duration::from_millis(200));
-
-/// Why a watch, or a call about the list, has ended.
+/// Maximum random delay before a nearly empty list is verified with another source.
+const VERIFY_DELAY_MAX: Duration = Duration::from_millis(250);
+/// Timeout for that request. A drain has to take effect within 1 s of the line that announces it.
+const VERIFY_TIMEOUT: Duration = Duration::from_millis(300);
+/// Minimum interval between comparisons with the version of another source, and the minimum per gatekeeper.
+/// The interval is drawn between one and two times the larger one.
+const COMPARE_INTERVAL: (Duration, Duration) = (Duration::from_secs(20), Duration::from_millis(200));
+
+/// Why a watch or a request to a source has failed.
 #[derive(Debug, Error)]
-enum Ended {
-    #[error("no connection in time")]
-    ConnectsLate,
+enum WatchError {
+    #[error("timeout while connecting")]
+    ConnectTimeout,
     #[error("{0}")]
     Connect(#[from] io::Error),
-    #[error("no place")]
-    NoPlace,
-    #[error("no answer in time")]
-    AnswersLate,
+    #[error("no connection slot available")]
+    NoSlot,
+    #[error("timeout while waiting for the response")]
+    ResponseTimeout,
     #[error("{0}")]
     Http(#[from] hyper::Error),
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
-    #[error("answered {0}")]
+    #[error("unexpected status {0}")]
     Status(StatusCode),
-    #[error("the watch fell silent")]
-    Silent,
-    #[error("a line: {0}")]
-    Line(#[from] serde_json::Error),
-    #[error("a line has no end")]
-    EndlessLine,
+    #[error("the watch received no data for {WATCH_IDLE_TIMEOUT:?}")]
+    IdleTimeout,
+    #[error("invalid response: {0}")]
+    InvalidLine(#[from] serde_json::Error),
+    #[error("a line is longer than {LINE_MAX} bytes")]
+    LineTooLong,
     #[error("{0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
     #[error(transparent)]
-    Odd(#[from] Odd),
+    Source(#[from] SourceError),
 }
 
-/// How calls for the list are spaced.
+/// Timeouts and intervals of the requests for the list.
 pub struct Pace {
     backoff: Backoff,
-    head: Duration,
-    shared: bool,
-    compare: Duration,
+    /// Timeout for a response head.
+    response_timeout: Duration,
+    is_shared: bool,
+    compare_interval: Duration,
     rng: fastrand::Rng,
-    /// What a shared pace goes by.
-    fleet: (u32, Duration, u64),
+    /// Parameters for a shared service: number of gatekeepers, time in which each has to be served, and seed.
+    shared_parameters: (u32, Duration, u64),
 }
 
 impl Pace {
-    /// For one of so many gatekeepers, each of which has to ask within this time; `seed` draws. The list
-    /// comes from an agent of this gatekeeper's own, unless it turns out to be a service that all share.
+    /// For a discovery agent that serves only this gatekeeper. Changes to [`Pace::shared`] when the source
+    /// turns out to be a service that all `gatekeepers` share, each of which has to make its request within
+    /// `within`. `seed` seeds the jitter.
     pub fn own(gatekeepers: u32, within: Duration, seed: u64) -> Pace {
         let pace = Pace::shared(gatekeepers, within, seed);
-        Pace { backoff: Backoff::new(seed), head: CONNECT, shared: false, ..pace }
+        Pace { backoff: Backoff::new(seed), response_timeout: CONNECT_TIMEOUT, is_shared: false, ..pace }
     }
 
-    /// The same for one service that all share.
+    /// For a service that all `gatekeepers` share, see [`Pace::own`].
     pub fn shared(gatekeepers: u32, within: Duration, seed: u64) -> Pace {
         Pace {
             backoff: Backoff::shared(gatekeepers, within, seed),
-            head: CONNECT.max((IN_LINE * gatekeepers).min(within / 2)),
-            shared: true,
-            compare: COMPARE.0.max(COMPARE.1 * gatekeepers),
+            response_timeout: CONNECT_TIMEOUT
+                .max((RESPONSE_TIME_PER_GATEKEEPER * gatekeepers).min(within / 2)),
+            is_shared: true,
+            compare_interval: COMPARE_INTERVAL.0.max(COMPARE_INTERVAL.1 * gatekeepers),
             rng: fastrand::Rng::with_seed(!seed),
-            fleet: (gatekeepers, within, seed),
+            shared_parameters: (gatekeepers, within, seed),
         }
     }
 
-    /// The list is known to be shared.
-    fn share(&mut self) {
-        if !self.shared {
-            let (gatekeepers, within, seed) = self.fleet;
-            *self = Pace { compare: self.compare, ..Pace::shared(gatekeepers, within, seed) };
+    /// Switches to the values for a shared service.
+    fn switch_to_shared(&mut self) {
+        if !self.is_shared {
+            let (gatekeepers, within, seed) = self.shared_parameters;
+            *self =
+                Pace { compare_interval: self.compare_interval, ..Pace::shared(gatekeepers, within, seed) };
         }
     }
 
-    /// Another source is asked for its version after one to two times this, where it is given.
-    pub fn comparing_after(self, least: Option<Duration>) -> Pace {
-        Pace { compare: least.unwrap_or(self.compare), ..self }
+    /// Sets the minimum interval between comparisons with another source, if `interval` is given; the actual
+    /// interval is drawn between one and two times this.
+    pub fn comparing_after(self, interval: Option<Duration>) -> Pace {
+        Pace { compare_interval: interval.unwrap_or(self.compare_interval), ..self }
     }
 
-    fn next_compare(&mut self) -> Instant {
-        Instant::now() + self.compare.mul_f64(1.0 + self.rng.f64())
+    fn draw_next_compare(&mut self) -> Instant {
+        Instant::now() + self.compare_interval.mul_f64(1.0 + self.rng.f64())
     }
 }
 
-/// Where the list stands, for figures.
+/// Status of the followed list, for metrics.
 pub struct Listing {
-    /// Its version.
+    /// Version of the list.
     pub rev: Cell<u64>,
-    /// Its epoch; 0 where it has none.
+    /// Epoch of the list; 0 if it has none.
     pub epoch: Cell<u64>,
-    /// The number of the source that is watched.
+    /// Index of the source that is watched.
     pub source: Cell<usize>,
-    heard: Cell<Instant>,
+    last_current: Cell<Instant>,
 }
 
 impl Listing {
-    /// Nothing heard yet.
+    /// Status before any list has been received.
     pub fn new() -> Rc<Listing> {
         let (rev, epoch, source) = (Cell::new(0), Cell::new(0), Cell::new(0));
-        Rc::new(Listing { rev, epoch, source, heard: Cell::new(Instant::now()) })
+        Rc::new(Listing { rev, epoch, source, last_current: Cell::new(Instant::now()) })
     }
 
-    /// How long ago the list was known to be that of the writer.
+    /// Time since the list was last known to match that of its origin.
     pub fn age(&self) -> Duration {
-        self.heard.get().elapsed()
+        self.last_current.get().elapsed()
     }
 
-    fn hear(&self, stale_ms: Option<u64>) {
-        // A span that no clock can count back is as good as any long one.
-        let since = Instant::now().checked_sub(Duration::from_millis(stale_ms.unwrap_or(0)));
-        self.heard.set(since.unwrap_or(self.heard.get()));
+    fn record_contact(&self, stale_ms: Option<u64>) {
+        // A time too far back for the clock leaves the last known one in place.
+        let last_current = Instant::now().checked_sub(Duration::from_millis(stale_ms.unwrap_or(0)));
+        self.last_current.set(last_current.unwrap_or(self.last_current.get()));
     }
 }
 
-/// Follows the list through its sources.
+/// Follows the list through a sequence of sources.
 pub struct Follower {
     sources: Sources,
     pace: Pace,
     listing: Rc<Listing>,
-    odd: Cell<u64>,
+    /// Number of failures logged, see [`note`].
+    event_count: Cell<u64>,
 }
 
 impl Follower {
-    /// Begins with the first source; `listing` is told where the list stands.
+    /// Starts with the first source and reports the status of the list in `listing`.
     pub fn new(sources: Sources, pace: Pace, listing: Rc<Listing>) -> Follower {
         listing.rev.set(sources.known().0);
-        let mut follower = Follower { sources, pace, listing, odd: Cell::new(0) };
-        follower.space();
+        let mut follower = Follower { sources, pace, listing, event_count: Cell::new(0) };
+        follower.adapt_pace();
         follower
     }
 
-    /// Spaces calls as the sources need it.
-    fn space(&mut self) {
+    /// Adapts the timeouts and intervals to the kind of source.
+    fn adapt_pace(&mut self) {
         if self.sources.are_shared() {
-            self.pace.share();
+            self.pace.switch_to_shared();
         }
     }
 
-    /// Follows the list for ever, wherever its sources move; calls `take` with each list or change.
+    /// Follows the list forever and calls `apply` with each full list or delta. `addresses` holds the
+    /// addresses of the sources, which may change at any time.
     pub async fn follow(
         mut self,
-        mut places: watch::Receiver<Vec<SocketAddr>>,
-        mut take: impl FnMut(&HostList, ListScope),
+        mut addresses: watch::Receiver<Vec<SocketAddr>>,
+        mut apply: impl FnMut(&HostList, ListScope),
     ) {
-        // Gatekeepers that are started together do not ask together.
+        // The random wait spreads the first requests of gatekeepers that are started at the same time.
         tokio::select! {
             () = self.pace.backoff.wait() => {}
-            Ok(()) = places.changed() => self.move_to(&mut places),
+            Ok(()) = addresses.changed() => self.replace_sources(&mut addresses),
         }
         loop {
             self.pace.backoff.reset();
             tokio::select! {
-                () = self.go_round(&mut take) => {}
-                Ok(()) = places.changed() => self.move_to(&mut places),
+                () = self.cycle_through_sources(&mut apply) => {}
+                Ok(()) = addresses.changed() => self.replace_sources(&mut addresses),
             }
         }
     }
 
-    fn move_to(&mut self, places: &mut watch::Receiver<Vec<SocketAddr>>) {
-        self.sources.move_to(places.borrow_and_update().clone());
-        self.space();
+    fn replace_sources(&mut self, addresses: &mut watch::Receiver<Vec<SocketAddr>>) {
+        self.sources.replace(addresses.borrow_and_update().clone());
+        self.adapt_pace();
     }
 
-    async fn go_round(&mut self, take: &mut impl FnMut(&HostList, ListScope)) {
+    async fn cycle_through_sources(&mut self, apply: &mut impl FnMut(&HostList, ListScope)) {
         loop {
             let before = self.sources.known();
-            let (number, at) = self.sources.place();
-            self.listing.source.set(number);
-            if let Err(what) = self.watch_list(at, take).await {
-                note(&self.odd, format_args!("discovery: {at}: {what}"));
+            let (index, address) = self.sources.current();
+            self.listing.source.set(index);
+            if let Err(error) = self.watch_list(address, apply).await {
+                note(&self.event_count, format_args!("discovery: {address}: {error}"));
             }
-            self.sources.ended();
-            self.space();
+            self.sources.advance();
+            self.adapt_pace();
             if self.sources.known() != before {
                 self.pace.backoff.reset();
             }
@@ -215,44 +225,46 @@
         }
     }
 
-    /// One watch, until it ends, falls silent or talks nonsense. A change that could not be read is asked for
-    /// again: the next watch starts after the last version that was taken in.
+    /// Runs one watch until it ends, times out or sends invalid data. An update that could not be read is
+    /// requested again: the next watch starts after the last version that was applied.
     async fn watch_list(
         &mut self,
-        at: SocketAddr,
-        take: &mut impl FnMut(&HostList, ListScope),
-    ) -> Result<(), Ended> {
-        let mut call = Call::connect(at).await?;
-        let answer = call.get(&self.sources.begin(), self.pace.head).await?;
-        match answer.status() {
+        address: SocketAddr,
+        apply: &mut impl FnMut(&HostList, ListScope),
+    ) -> Result<(), WatchError> {
+        let mut connection = SourceConnection::connect(address).await?;
+        let response = connection.get(&self.sources.start_watch(), self.pace.response_timeout).await?;
+        match response.status() {
             StatusCode::OK => {}
-            StatusCode::CONFLICT => return Err(self.sources.ahead().into()),
+            StatusCode::CONFLICT => return Err(self.sources.on_version_ahead().into()),
             StatusCode::SERVICE_UNAVAILABLE => {
-                let why =
-                    Limited::new(answer.into_body(), REFUSAL_MAX).collect().await.map_err(Ended::Body)?;
-                let why: Option<Refused> = serde_json::from_slice(&why.to_bytes()).ok();
-                return match why.is_some_and(|why| why.error == OVERLOADED) {
-                    true => self.ask_once(call, take).await,
-                    false => Err(Ended::Status(StatusCode::SERVICE_UNAVAILABLE)),
+                let body = Limited::new(response.into_body(), ERROR_BODY_MAX)
+                    .collect()
+                    .await
+                    .map_err(WatchError::Body)?;
+                let refusal: Option<Refused> = serde_json::from_slice(&body.to_bytes()).ok();
+                return match refusal.is_some_and(|refusal| refusal.error == OVERLOADED) {
+                    true => self.read_once(connection, apply).await,
+                    false => Err(WatchError::Status(StatusCode::SERVICE_UNAVAILABLE)),
                 };
             }
-            status => return Err(Ended::Status(status)),
+            status => return Err(WatchError::Status(status)),
         }
-        let mut body = answer.into_body();
+        let mut body = response.into_body();
         let mut buffer = BytesMut::new();
-        let mut compare = self.pace.next_compare();
-        let silent = Cell::new(Instant::now() + SILENT);
+        let mut next_compare = self.pace.draw_next_compare();
+        let idle_deadline = Cell::new(Instant::now() + WATCH_IDLE_TIMEOUT);
         loop {
             let frame = tokio::select! {
                 frame = body.frame() => frame,
-                () = sleep_until(silent.get()) => return Err(Ended::Silent),
-                () = sleep_until(compare) => {
-                    compare = self.pace.next_compare();
+                () = sleep_until(idle_deadline.get()) => return Err(WatchError::IdleTimeout),
+                () = sleep_until(next_compare) => {
+                    next_compare = self.pace.draw_next_compare();
                     self.compare().await?;
                     continue;
                 }
             };
-            silent.set(Instant::now() + SILENT);
+            idle_deadline.set(Instant::now() + WATCH_IDLE_TIMEOUT);
             let Some(frame) = frame else { return Ok(()) };
             let Ok(data) = frame?.into_data() else { continue };
             buffer.extend_from_slice(&data);
@@ -262,122 +274,129 @@
                 if !line.trim_ascii().is_empty() {
                     let list: HostList = serde_json::from_slice(&line)?;
                     stale_ms = list.stale_ms;
-                    self.hear(&list, take).await?;
+                    self.handle_update(&list, apply).await?;
                 }
-                self.listing.hear(stale_ms);
-                self.sources.goes_on(std::time::Instant::now(), stale_ms)?;
+                self.listing.record_contact(stale_ms);
+                self.sources.check_source(std::time::Instant::now(), stale_ms)?;
             }
             if buffer.len() > LINE_MAX {
-                return Err(Ended::EndlessLine);
+                return Err(WatchError::LineTooLong);
             }
         }
     }
 
-    /// The source has no room for a further watch: the list as it is now, so that nobody is left outside. A watch is tried
-    /// again after the usual wait.
-    async fn ask_once(
+    /// Reads the list once when the source has reached its limit of watches, so that every gatekeeper gets
+    /// the current list. A watch is tried again after the usual wait.
+    async fn read_once(
         &mut self,
-        call: Call,
-        take: &mut impl FnMut(&HostList, ListScope),
-    ) -> Result<(), Ended> {
-        let list: HostList = call.read(HOSTS, self.pace.head).await?;
+        connection: SourceConnection,
+        apply: &mut impl FnMut(&HostList, ListScope),
+    ) -> Result<(), WatchError> {
+        let list: HostList = connection.read(HOSTS, self.pace.response_timeout).await?;
         if (list.rev, list.epoch) != self.sources.known() {
-            self.hear(&list, take).await?;
+            self.handle_update(&list, apply).await?;
         }
-        self.listing.hear(list.stale_ms);
-        Ok(self.sources.goes_on(std::time::Instant::now(), list.stale_ms)?)
+        self.listing.record_contact(list.stale_ms);
+        Ok(self.sources.check_source(std::time::Instant::now(), list.stale_ms)?)
     }
 
-    async fn hear(
+    async fn handle_update(
         &mut self,
         list: &HostList,
-        take: &mut impl FnMut(&HostList, ListScope),
-    ) -> Result<(), Ended> {
-        let scope = match self.sources.hear(list) {
-            Heard::Take(scope) => scope,
-            Heard::Suspect(scope) => {
-                if self.is_refuted(list).await {
-                    return Err(Odd::NearlyNone.into());
+        apply: &mut impl FnMut(&HostList, ListScope),
+    ) -> Result<(), WatchError> {
+        let scope = match self.sources.evaluate(list) {
+            UpdateDecision::Apply(scope) => scope,
+            UpdateDecision::Verify(scope) => {
+                if self.is_refuted_by_other(list).await {
+                    return Err(SourceError::NearlyEmpty.into());
                 }
                 self.sources.accept(list);
                 scope
             }
-            Heard::Repeat if list.targets.is_empty() => return Ok(()),
-            Heard::Repeat => {
+            UpdateDecision::Duplicate if list.targets.is_empty() => return Ok(()),
+            UpdateDecision::Duplicate => {
                 let (known, _) = self.sources.known();
-                note(&self.odd, format_args!("discovery: version {} after {known}", list.rev));
+                note(
+                    &self.event_count,
+                    format_args!("discovery: ignored version {}, current version is {known}", list.rev),
+                );
                 return Ok(());
             }
-            Heard::Leave(odd) => return Err(odd.into()),
+            UpdateDecision::Reject(error) => return Err(error.into()),
         };
-        take(list, scope);
+        apply(list, scope);
         let (rev, epoch) = self.sources.known();
         self.listing.rev.set(rev);
         self.listing.epoch.set(epoch.unwrap_or(0));
         Ok(())
     }
 
-    /// Asks another source about a list of hardly any server.
-    async fn is_refuted(&mut self, suspect: &HostList) -> bool {
-        let Some(at) = self.sources.another(self.pace.rng.usize(..)) else { return false };
-        tokio::time::sleep(DOUBT_WAIT.mul_f64(self.pace.rng.f64())).await;
-        let asked = async { Call::connect(at).await?.read::<HostList>(HOSTS, DOUBT_ANSWER).await };
-        match timeout(DOUBT_ANSWER, asked).await {
+    /// Verifies a nearly empty list with another source; returns whether that one shows it to be wrong.
+    async fn is_refuted_by_other(&mut self, suspect: &HostList) -> bool {
+        let Some(address) = self.sources.pick_other(self.pace.rng.usize(..)) else { return false };
+        tokio::time::sleep(VERIFY_DELAY_MAX.mul_f64(self.pace.rng.f64())).await;
+        let request =
+            async { SourceConnection::connect(address).await?.read::<HostList>(HOSTS, VERIFY_TIMEOUT).await };
+        match timeout(VERIFY_TIMEOUT, request).await {
             Ok(Ok(other)) => self.sources.refutes(&other, suspect),
             _ => false,
         }
     }
 
-    /// Asks another source whether the one that is watched has come to a stop.
-    async fn compare(&mut self) -> Result<(), Ended> {
+    /// Compares the version with that of another source, to detect that the watched one no longer makes
+    /// progress.
+    async fn compare(&mut self) -> Result<(), WatchError> {
         if self.sources.known().1.is_none() {
             return Ok(());
         }
-        let Some(at) = self.sources.another(self.pace.rng.usize(..)) else { return Ok(()) };
-        let asked = async { Call::connect(at).await?.read::<Revision>(REVISION, DOUBT_ANSWER).await };
-        // One that says nothing proves nothing.
-        let Ok(Ok(other)) = timeout(DOUBT_ANSWER, asked).await else { return Ok(()) };
+        let Some(address) = self.sources.pick_other(self.pace.rng.usize(..)) else { return Ok(()) };
+        let request = async {
+            SourceConnection::connect(address).await?.read::<Revision>(REVISION, VERIFY_TIMEOUT).await
+        };
+        // A failed request says nothing about the watched source.
+        let Ok(Ok(other)) = timeout(VERIFY_TIMEOUT, request).await else { return Ok(()) };
         Ok(self.sources.compare(std::time::Instant::now(), &other)?)
     }
 }
 
 /// A connection to a source, closed when dropped.
-struct Call {
+struct SourceConnection {
     wire: Rc<Wire>,
     sender: SendRequest<Empty<Bytes>>,
 }
 
-impl Drop for Call {
+impl Drop for SourceConnection {
     fn drop(&mut self) {
         self.wire.close();
     }
 }
 
-impl Call {
-    async fn connect(at: SocketAddr) -> Result<Call, Ended> {
-        let stream = timeout(CONNECT, TcpStream::connect(at)).await;
-        let stream = stream.map_err(|_| Ended::ConnectsLate)??;
-        let place = Place::take(&Rc::default(), 1).ok_or(Ended::NoPlace)?;
-        let wire = Wire::new(stream, place);
+impl SourceConnection {
+    async fn connect(address: SocketAddr) -> Result<SourceConnection, WatchError> {
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+        let stream = stream.map_err(|_| WatchError::ConnectTimeout)??;
+        let slot = Place::take(&Rc::default(), 1).ok_or(WatchError::NoSlot)?;
+        let wire = Wire::new(stream, slot);
         let (sender, conn) =
             hyper::client::conn::http1::handshake(TokioIo::new(WireIo(wire.clone()))).await?;
         let task = tokio::task::spawn_local(async move { drop(conn.await) });
         wire.driven_by(task.abort_handle());
-        Ok(Call { wire, sender })
+        Ok(SourceConnection { wire, sender })
     }
 
-    async fn get(&mut self, path: &str, time: Duration) -> Result<Response<Incoming>, Ended> {
+    async fn get(&mut self, path: &str, time: Duration) -> Result<Response<Incoming>, WatchError> {
         let request = Request::get(path).header(HOST, "discovery").body(Empty::new());
-        let answer = self.sender.send_request(request?);
-        Ok(timeout(time, answer).await.map_err(|_| Ended::AnswersLate)??)
+        let response = self.sender.send_request(request?);
+        Ok(timeout(time, response).await.map_err(|_| WatchError::ResponseTimeout)??)
     }
 
-    async fn read<T: DeserializeOwned>(mut self, path: &str, time: Duration) -> Result<T, Ended> {
-        let answer = self.get(path, time).await?;
-        if answer.status() != StatusCode::OK {
-            return Err(Ended::Status(answer.status()));
+    async fn read<T: DeserializeOwned>(mut self, path: &str, time: Duration) -> Result<T, WatchError> {
+        let response = self.get(path, time).await?;
+        if response.status() != StatusCode::OK {
+            return Err(WatchError::Status(response.status()));
         }
-        let body = Limited::new(answer.into_body(), LINE_MAX).collect().await.map_err(Ended::Body)?;
+        let body = Limited::new(response.into_body(), LINE_MAX).collect().await.map_err(WatchError::Body)?;
         Ok(serde_json::from_slice(&body.to_bytes())?)
     }
 }
@@ -387,30 +406,30 @@
     use super::*;
 
     #[test]
-    fn an_agent_of_its_own_is_asked_at_once_and_a_shared_service_in_time() {
+    fn a_local_agent_is_contacted_at_once_and_a_shared_service_within_the_limit() {
         for seed in 0..300 {
             let within = Duration::from_secs(10);
             let mut own = Pace::own(300, within, seed);
-            // What it tells counts as told whether it was asked or not.
+            // An update of a local agent counts as delivered whether or not it was requested.
             assert!(own.backoff.draw() <= Duration::from_millis(100));
-            assert!(own.head <= Duration::from_secs(1));
+            assert!(own.response_timeout <= Duration::from_secs(1));
             let mut shared = Pace::shared(300, within, seed);
-            assert!(shared.backoff.draw() + shared.head <= within);
-            own.share();
-            assert_eq!(own.head, shared.head);
+            assert!(shared.backoff.draw() + shared.response_timeout <= within);
+            own.switch_to_shared();
+            assert_eq!(own.response_timeout, shared.response_timeout);
         }
     }
 
     #[test]
     fn several_sources_and_lists_with_an_epoch_are_shared() {
-        let places = |n: u16| (1..=n).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
-        let of = |places, epoch| {
+        let addresses = |n: u16| (1..=n).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
+        let is_shared = |addresses, epoch| {
             let known = HostList { epoch, ..HostList::default() };
             let pace = Pace::own(300, Duration::from_secs(10), 7);
-            Follower::new(Sources::new(places, &known), pace, Listing::new()).pace.shared
+            Follower::new(Sources::new(addresses, &known), pace, Listing::new()).pace.is_shared
         };
-        assert!(!of(places(1), None), "the platform's own agent");
-        assert!(of(places(2), None));
-        assert!(of(places(1), Some(9)));
+        assert!(!is_shared(addresses(1), None), "the platform's own agent");
+        assert!(is_shared(addresses(2), None));
+        assert!(is_shared(addresses(1), Some(9)));
     }
 }
--- a/crates/list/src/forms.rs
+++ b/crates/list/src/forms.rs
@@ -1,78 +1,79 @@
-//! The forms in which the list of servers is told and registered for, shared by gatekeepers and the list
-//! service.
+//! JSON messages of the server discovery API, shared by gatekeepers and the list service.
 
 use serde::{Deserialize, Serialize};
 
-/// Where the list is watched and asked for.
+/// Path for reading and watching the list of servers.
 pub const HOSTS: &str = "/discovery/hosts";
-/// Where the list's version is asked for.
+/// Path for reading the version of the list.
 pub const REVISION: &str = "/discovery/rev";
 
-/// A list of servers, or what changed of it.
+/// The full list of servers, or a delta of it.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct HostList {
-    /// Its version.
+    /// Version of the list.
     pub rev: u64,
-    /// Whether it names all servers.
+    /// Whether this is the full list and not a delta.
     #[serde(default)]
     pub all: bool,
-    /// Which line of versions this one is of; the platform's discovery has none.
+    /// Epoch of the list; versions are only comparable within one epoch. The platform's own discovery has no
+    /// epochs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub epoch: Option<u64>,
-    /// For how long the teller has heard nothing from where it has the list, where that is long.
+    /// Time since the sender last heard from its own source of the list, in ms; absent unless the list is
+    /// stale.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stale_ms: Option<u64>,
-    /// Whether the teller has the list from another.
+    /// Whether the sender is a mirror, which gets the list from another source.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub mirror: bool,
-    /// The servers.
+    /// The servers; in a delta, those that have changed.
     #[serde(default)]
     pub targets: Vec<Target>,
 }
 
-/// One server as listed.
+/// One server in the list.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Target {
-    /// Its name, the same at every gatekeeper.
+    /// Name of the server, unique and the same for all gatekeepers.
     pub uid: String,
-    /// Where it listens.
+    /// Address on which the server listens.
     #[serde(default)]
     pub endpoint: String,
-    /// Its zone.
+    /// Availability zone.
     #[serde(default)]
     pub az: String,
-    /// What it runs on.
+    /// Hardware model.
     #[serde(default)]
     pub model: String,
-    /// What it may fail together with.
+    /// Failure domain: servers of the same group may fail together.
     #[serde(default)]
     pub pod_group: u64,
-    /// `up`, `draining` or, among changes, `removed`.
+    /// `up`, `draining` or, in a delta, `removed`.
     #[serde(default)]
     pub state: String,
-    /// Its size.
+    /// Relative capacity.
     pub capacity_hint: Option<f64>,
-    /// When its process started, Unix time in ms; 0 for long ago.
+    /// Start time of the process, Unix time in ms; 0 if it is unknown but long ago.
     #[serde(default)]
     pub boot_ms: u64,
 }
 
 impl Target {
-    /// Whether new work may go to it.
+    /// Whether the server accepts new requests.
     pub fn is_up(&self) -> bool {
         self.state == "up"
     }
 
-    /// Whether it is on the list no more.
+    /// Whether the server has been removed from the list.
     pub fn is_removed(&self) -> bool {
         self.state == "removed"
     }
 }
 
-/// The version that a source of the list is at.
+/// The version of the list that a source has.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Revision {
-    /// The version.
+    /// Version of the list.
     pub rev: u64,
     /// See [`HostList::epoch`].
     pub epoch: u64,
@@ -81,67 +82,68 @@
     pub stale_ms: u64,
 }
 
-/// A server's call to be listed.
+/// Request of a server to be listed.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Register {
-    /// Its name.
+    /// See [`Target::uid`].
     pub uid: String,
-    /// Where it listens.
+    /// See [`Target::endpoint`].
     pub endpoint: String,
-    /// Its zone.
+    /// See [`Target::az`].
     #[serde(default)]
     pub az: String,
-    /// What it runs on.
+    /// See [`Target::model`].
     #[serde(default)]
     pub model: String,
-    /// What it may fail together with.
+    /// See [`Target::pod_group`].
     #[serde(default)]
     pub pod_group: u64,
-    /// Its size; 1 where it is absent.
-    #[serde(default = "one")]
+    /// Relative capacity; 1 if absent.
+    #[serde(default = "default_capacity_hint")]
     pub capacity_hint: f64,
-    /// When its process started, Unix time in ms; 0 for long ago.
+    /// See [`Target::boot_ms`].
     pub boot_ms: u64,
-    /// The lease ends this long after the last word.
+    /// Requested time to live of the lease after each renewal, in ms.
     pub ttl_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_capacity_hint() -> f64 {
     1.0
 }
 
-/// A call of a server that holds a lease: to renew it, to drain, or to be listed no more.
+/// Request of a server that holds a lease: to renew it, to drain, or to be removed from the list.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct OnLease {
-    /// The server's name.
+    /// Name of the server.
     pub uid: String,
-    /// The lease's number.
+    /// Id of the lease.
     pub lease: u64,
 }
 
-/// The answer to such calls.
+/// Response to a registration or a request on a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Leased {
-    /// The lease's number.
+    /// Id of the lease.
     pub lease: u64,
-    /// The version in which the list came to say so, or a later one.
+    /// Version of the list that contains this state of the server, or a later one.
     pub rev: u64,
-    /// The lease ends this long after the last word; 0 where it has ended.
+    /// Time to live of the lease after each renewal, in ms; 0 if the lease has ended.
     pub ttl_ms: u64,
-    /// Renew it this long after the last word.
+    /// Time after which to renew the lease, in ms.
     pub renew_ms: u64,
 }
 
-/// The reason of a refusal for want of room: other calls may find some.
+/// Error code for a request refused because of a limit on concurrent lists, watches or connections; a request
+/// for the list without a watch may still succeed.
 pub const OVERLOADED: &str = "overloaded";
 
-/// Why a call was refused.
+/// Body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Refused {
-    /// The reason, one word.
+    /// Error code.
     pub error: String,
-    /// The same for people.
+    /// Description of the error for people.
     pub what: String,
 }
--- a/crates/list/src/lib.rs
+++ b/crates/list/src/lib.rs
@@ -1,4 +1,5 @@
-//! The list of servers: its forms on the wire, whom to believe of several sources, and how it is followed.
+//! Client side of server discovery: message types of the API, choice among several sources of the server
+//! list, and a follower that keeps a watch open.
 
 pub mod follower;
 pub mod forms;
--- a/crates/list/src/sources.rs
+++ b/crates/list/src/sources.rs
@@ -1,4 +1,5 @@
-//! Which source of the list to watch, and what to believe of what it tells. No I/O; time is passed in.
+//! Chooses which source of the server list to watch and which of its updates to apply. Performs no I/O; the
+//! caller passes the time in.
 
 use crate::forms::{HostList, Revision, HOSTS};
 use granitelead_decisions::ListScope;
@@ -7,195 +8,201 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Most further sources beside the first.
+/// Maximum number of sources in addition to the first one.
 pub const FURTHER_MAX: usize = 4;
-/// Epochs that have been left, as many as are remembered.
-const LEFT_MAX: usize = 16;
-/// A source that has heard nothing for so long is stale.
-pub const STALE: Duration = Duration::from_secs(5);
-/// Time for a source to come up to a version that another one was at.
-const CATCH_UP: Duration = Duration::from_secs(5);
-/// A list that leaves fewer than one in so many servers is looked at twice.
-const NEARLY_NONE: usize = 4;
-
-/// What a line of a watch comes to.
+/// Maximum number of former epochs that are remembered.
+const RETIRED_EPOCHS_MAX: usize = 16;
+/// A source that has had no contact with the origin of the list for this long is stale.
+pub const STALE_AFTER: Duration = Duration::from_secs(5);
+/// Time in which the watched source has to reach a version that another source already has.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(5);
+/// An update that leaves fewer than one in this many servers up is verified with another source.
+const NEARLY_EMPTY_RATIO: usize = 4;
+
+/// What to do with an update received from a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// It is news, and has been noted as the list of now.
-    Take(ListScope),
-    /// It would leave hardly any server, so another source is to be asked first; nothing has been noted.
-    Suspect(ListScope),
-    /// Nothing new.
-    Repeat,
-    /// Not to be believed, nor the source that told it.
-    Leave(Odd),
+pub enum UpdateDecision {
+    /// Apply it; it has been recorded as the current list.
+    Apply(ListScope),
+    /// Verify it with another source first, as it would leave hardly any server up; nothing has been
+    /// recorded.
+    Verify(ListScope),
+    /// Ignore it; it contains nothing new.
+    Duplicate,
+    /// Reject it and switch to another source.
+    Reject(SourceError),
 }
 
-/// Why a source is left.
+/// Why a source is abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Odd {
-    /// Its version is lower.
-    #[error("it is behind the list that is known")]
-    Older,
-    /// It says that it has heard nothing for long, or does not come up to another.
-    #[error("it is stale")]
+pub enum SourceError {
+    /// Its list is older than the current one.
+    #[error("the source is behind the current list")]
+    Outdated,
+    /// It reports that its list is stale, or did not catch up with another source in time.
+    #[error("the source is stale")]
     Stale,
-    /// Its versions are of another line.
-    #[error("it tells of another list")]
+    /// Its list has another epoch.
+    #[error("the source has a list of another epoch")]
     OtherList,
-    /// Its list would leave next to nobody.
-    #[error("it lists hardly any server, another one many")]
-    NearlyNone,
+    /// Its list is nearly empty while another source's list is not.
+    #[error("the source lists hardly any servers, another source lists many")]
+    NearlyEmpty,
 }
 
-/// The sources of the list, and what has been heard of them.
+/// The sources of the list and the state of the list received from them.
 pub struct Sources {
-    places: Vec<SocketAddr>,
-    at: usize,
+    addresses: Vec<SocketAddr>,
+    /// Index of the source that is watched.
+    current: usize,
     rev: u64,
     epoch: Option<u64>,
-    /// Epochs that are over, for good.
-    left: VecDeque<u64>,
+    /// Former epochs, whose lists are never accepted again.
+    retired_epochs: VecDeque<u64>,
+    /// Names of the servers that are up.
     up: HashSet<String>,
-    /// The last version told by the present watch.
-    heard: Option<u64>,
-    /// The next watch asks for the whole list.
-    from_nothing: bool,
-    /// The sources have been replaced: the next whole list begins anew.
-    moved: bool,
-    /// Sources in a row that had nothing to tell that was fit to be believed.
-    in_vain: usize,
-    /// Whether the present source has given a sign of life that is not stale.
-    alive: bool,
-    /// Whether it says that it is stale.
-    stale: bool,
-    /// A version that another source was at, and when the present one has to be there.
-    behind: Option<(u64, Instant)>,
+    /// Last version received from the current watch.
+    last_rev: Option<u64>,
+    /// Whether the next watch requests the full list.
+    request_full_list: bool,
+    /// Whether the sources have been replaced, so that the next full list is accepted with any epoch.
+    were_replaced: bool,
+    /// Number of consecutive sources that gave no usable update.
+    failures_in_a_row: usize,
+    /// Whether the current source has sent an update or a heartbeat while it was not stale.
+    is_alive: bool,
+    /// Whether the current source reports that its list is stale.
+    is_stale: bool,
+    /// A version that another source has, and the deadline for the current source to reach it.
+    catch_up: Option<(u64, Instant)>,
 }
 
 impl Sources {
-    /// The first of `places` comes first; there is one at least.
-    pub fn new(places: Vec<SocketAddr>, known: &HostList) -> Sources {
+    /// Starts with the first of `addresses`, which must not be empty, and with `known` as the current list.
+    pub fn new(addresses: Vec<SocketAddr>, known: &HostList) -> Sources {
         let up = known.targets.iter().filter(|t| t.is_up()).map(|t| t.uid.clone()).collect();
         Sources {
-            places,
-            at: 0,
+            addresses,
+            current: 0,
             rev: known.rev,
             epoch: known.epoch,
-            left: VecDeque::new(),
+            retired_epochs: VecDeque::new(),
             up,
-            heard: None,
-            from_nothing: false,
-            moved: false,
-            in_vain: 0,
-            alive: false,
-            stale: false,
-            behind: None,
+            last_rev: None,
+            request_full_list: false,
+            were_replaced: false,
+            failures_in_a_row: 0,
+            is_alive: false,
+            is_stale: false,
+            catch_up: None,
         }
     }
 
-    /// The sources are others from now on. What is known stays until one of them tells otherwise.
-    pub fn move_to(&mut self, places: Vec<SocketAddr>) {
-        self.places = places;
-        (self.at, self.in_vain, self.moved) = (0, 0, true);
+    /// Replaces the sources. The current list stays until one of them sends another one.
+    pub fn replace(&mut self, addresses: Vec<SocketAddr>) {
+        self.addresses = addresses;
+        (self.current, self.failures_in_a_row, self.were_replaced) = (0, 0, true);
     }
 
-    /// The version and the epoch that are known.
+    /// The version and the epoch of the current list.
     pub fn known(&self) -> (u64, Option<u64>) {
         (self.rev, self.epoch)
     }
 
-    /// Whether the list comes from a service that other gatekeepers ask as well.
+    /// Whether the list comes from a service that other gatekeepers use as well.
     pub fn are_shared(&self) -> bool {
-        self.places.len() > 1 || self.epoch.is_some()
+        self.addresses.len() > 1 || self.epoch.is_some()
     }
 
-    /// The source to watch, and its number.
-    pub fn place(&self) -> (usize, SocketAddr) {
-        (self.at, self.places[self.at])
+    /// The source to watch: its index and address.
+    pub fn current(&self) -> (usize, SocketAddr) {
+        (self.current, self.addresses[self.current])
     }
 
-    /// A source beside the one that is watched, `draw` choosing among them.
-    pub fn another(&self, draw: usize) -> Option<SocketAddr> {
-        let others = self.places.len() - 1;
-        (others > 0).then(|| self.places[(self.at + 1 + draw % others) % self.places.len()])
+    /// A source other than the current one, selected by the random number `draw`.
+    pub fn pick_other(&self, draw: usize) -> Option<SocketAddr> {
+        let others = self.addresses.len() - 1;
+        (others > 0).then(|| self.addresses[(self.current + 1 + draw % others) % self.addresses.len()])
     }
 
-    /// A watch begins: what to ask for.
-    pub fn begin(&mut self) -> String {
-        (self.heard, self.alive, self.stale, self.behind) = (None, false, false, None);
+    /// Starts a watch and returns the path and query to request.
+    pub fn start_watch(&mut self) -> String {
+        (self.last_rev, self.is_alive, self.is_stale, self.catch_up) = (None, false, false, None);
         match self.epoch {
-            _ if self.from_nothing => format!("{HOSTS}?stream=1&index=0"),
+            _ if self.request_full_list => format!("{HOSTS}?stream=1&index=0"),
             Some(epoch) => format!("{HOSTS}?stream=1&index={}&epoch={epoch}", self.rev),
             None => format!("{HOSTS}?stream=1&index={}", self.rev),
         }
     }
 
-    /// The source said that it is not at the version asked for yet.
-    pub fn ahead(&mut self) -> Odd {
-        // Without an epoch the version may be one of another list altogether.
-        self.from_nothing |= self.epoch.is_none();
-        Odd::Older
+    /// Handles the response that the source has not reached the requested version.
+    pub fn on_version_ahead(&mut self) -> SourceError {
+        // Without an epoch the current version may belong to a different list, so the full list is requested
+        // next.
+        self.request_full_list |= self.epoch.is_none();
+        SourceError::Outdated
     }
 
-    /// The watch has ended, or none came about: the next source's turn.
-    pub fn ended(&mut self) {
-        if !self.alive && !self.stale {
-            self.in_vain = self.in_vain.saturating_add(1);
+    /// Switches to the next source after a watch has ended or failed.
+    pub fn advance(&mut self) {
+        if !self.is_alive && !self.is_stale {
+            self.failures_in_a_row = self.failures_in_a_row.saturating_add(1);
         }
-        self.at = (self.at + 1) % self.places.len();
+        self.current = (self.current + 1) % self.addresses.len();
     }
 
-    /// Takes in a line.
-    pub fn hear(&mut self, list: &HostList) -> Heard {
-        if let Err(odd) = self.believes(list) {
-            return Heard::Leave(odd);
+    /// Decides what to do with an update, and records it if it is to be applied.
+    pub fn evaluate(&mut self, list: &HostList) -> UpdateDecision {
+        if let Err(error) = self.check_epoch(list) {
+            return UpdateDecision::Reject(error);
         }
-        // A watch tells in order what came after the version asked for; only a whole list may begin anew.
-        let anew = list.epoch != self.epoch;
-        let begins = list.all && (self.heard.is_none() || anew);
-        if begins && !anew && list.epoch.is_some() && list.rev == self.rev {
-            self.heard = Some(list.rev);
-            return Heard::Repeat;
+        // A watch sends the versions after the requested one in order; only a full list may start over.
+        let is_new_epoch = list.epoch != self.epoch;
+        let starts_over = list.all && (self.last_rev.is_none() || is_new_epoch);
+        if starts_over && !is_new_epoch && list.epoch.is_some() && list.rev == self.rev {
+            self.last_rev = Some(list.rev);
+            return UpdateDecision::Duplicate;
         }
-        let last = if begins { None } else { self.heard.or((!list.all).then_some(self.rev)) };
+        let last = if starts_over { None } else { self.last_rev.or((!list.all).then_some(self.rev)) };
         if last.is_some_and(|last| list.rev <= last) {
-            return Heard::Repeat;
+            return UpdateDecision::Duplicate;
         }
         let scope = if list.all { ListScope::Full } else { ListScope::Delta };
-        if self.places.len() > 1 && self.leaves_nearly_none(list) {
-            return Heard::Suspect(scope);
+        if self.addresses.len() > 1 && self.leaves_nearly_empty(list) {
+            return UpdateDecision::Verify(scope);
         }
         self.accept(list);
-        Heard::Take(scope)
+        UpdateDecision::Apply(scope)
     }
 
-    /// Whether a line may be of the list that is known, or of one that replaces it.
-    fn believes(&mut self, list: &HostList) -> Result<(), Odd> {
+    /// Checks that an update belongs to the current list or to one that may replace it.
+    fn check_epoch(&mut self, list: &HostList) -> Result<(), SourceError> {
         if list.epoch == self.epoch {
-            let back = list.all && self.heard.is_none() && list.epoch.is_some() && list.rev < self.rev;
-            return if back { Err(Odd::Older) } else { Ok(()) };
+            let is_older = list.all && self.last_rev.is_none() && list.epoch.is_some() && list.rev < self.rev;
+            return if is_older { Err(SourceError::Outdated) } else { Ok(()) };
         }
         if !list.all {
-            self.from_nothing = true;
-            return Err(Odd::OtherList);
+            self.request_full_list = true;
+            return Err(SourceError::OtherList);
         }
-        let replaces = match (self.epoch, list.epoch) {
-            _ if self.moved => true,
+        let may_replace = match (self.epoch, list.epoch) {
+            _ if self.were_replaced => true,
             (None, _) => true,
-            // The platform's in place of ours: believed only where it is all there is.
-            (Some(_), None) => self.places.len() == 1,
-            (Some(_), Some(new)) if self.left.contains(&new) => return Err(Odd::Older),
-            // The writer may begin an epoch with its clock set back; a mirror of an older one lags.
+            // A list of the platform's own discovery replaces one with an epoch only if it is the only
+            // source.
+            (Some(_), None) => self.addresses.len() == 1,
+            (Some(_), Some(new)) if self.retired_epochs.contains(&new) => return Err(SourceError::Outdated),
+            // The writer may start an epoch after its clock was set back; a mirror with an older epoch lags
+            // behind.
             (Some(old), Some(new)) => new > old || !list.mirror,
         };
-        if replaces {
+        if may_replace {
             return Ok(());
         }
-        Err(if list.mirror { Odd::Older } else { Odd::OtherList })
+        Err(if list.mirror { SourceError::Outdated } else { SourceError::OtherList })
     }
 
-    fn leaves_nearly_none(&self, list: &HostList) -> bool {
+    fn leaves_nearly_empty(&self, list: &HostList) -> bool {
         let before = self.up.len();
         let after = match list.all {
             true => list.targets.iter().filter(|t| t.is_up()).count(),
@@ -205,63 +212,64 @@
                 up.len()
             }
         };
-        before > 1 && after * NEARLY_NONE < before
+        before > 1 && after * NEARLY_EMPTY_RATIO < before
     }
 
-    /// Whether another source's whole list shows that a suspect one is wrong.
+    /// Whether the full list of another source shows that a nearly empty one is wrong.
     pub fn refutes(&self, other: &HostList, suspect: &HostList) -> bool {
         let at_least_as_new = other.all && other.epoch == suspect.epoch && other.rev >= suspect.rev;
-        at_least_as_new && other.stale_ms.is_none() && !self.leaves_nearly_none(other)
+        at_least_as_new && other.stale_ms.is_none() && !self.leaves_nearly_empty(other)
     }
 
-    /// A suspect list holds after all.
+    /// Records an update as part of the current list.
     pub fn accept(&mut self, list: &HostList) {
         if list.all {
             self.up.clear();
         }
         apply(&mut self.up, list);
         if let Some(old) = self.epoch.filter(|old| list.epoch.is_some_and(|new| new != *old)) {
-            self.left.push_back(old);
-            if self.left.len() > LEFT_MAX {
-                self.left.pop_front();
+            self.retired_epochs.push_back(old);
+            if self.retired_epochs.len() > RETIRED_EPOCHS_MAX {
+                self.retired_epochs.pop_front();
             }
-            self.behind = None;
+            self.catch_up = None;
         }
-        (self.rev, self.epoch, self.heard) = (list.rev, list.epoch, Some(list.rev));
-        (self.from_nothing, self.moved) = (false, false);
+        (self.rev, self.epoch, self.last_rev) = (list.rev, list.epoch, Some(list.rev));
+        (self.request_full_list, self.were_replaced) = (false, false);
     }
 
-    /// After each line, and each sign of life without one: whether to go on with this source.
-    pub fn goes_on(&mut self, now: Instant, stale_ms: Option<u64>) -> Result<(), Odd> {
-        self.stale = stale_ms.is_some_and(|ms| u128::from(ms) >= STALE.as_millis());
-        if self.behind.is_some_and(|(rev, until)| self.rev < rev && now >= until) {
-            return Err(Odd::Stale);
+    /// Checks after each update and each heartbeat whether to stay with the current source.
+    pub fn check_source(&mut self, now: Instant, stale_ms: Option<u64>) -> Result<(), SourceError> {
+        self.is_stale = stale_ms.is_some_and(|ms| u128::from(ms) >= STALE_AFTER.as_millis());
+        if self.catch_up.is_some_and(|(rev, deadline)| self.rev < rev && now >= deadline) {
+            return Err(SourceError::Stale);
         }
-        if !self.stale {
-            (self.alive, self.in_vain) = (true, 0);
-        } else if self.in_vain + 1 < self.places.len() {
-            self.in_vain += 1;
-            return Err(Odd::Stale);
+        if !self.is_stale {
+            (self.is_alive, self.failures_in_a_row) = (true, 0);
+        } else if self.failures_in_a_row + 1 < self.addresses.len() {
+            self.failures_in_a_row += 1;
+            return Err(SourceError::Stale);
         }
         Ok(())
     }
 
-    /// Another source tells its version: whether the present one is to be left because of that.
-    pub fn compare(&mut self, now: Instant, other: &Revision) -> Result<(), Odd> {
-        let fresh = u128::from(other.stale_ms) < STALE.as_millis();
-        let Some(epoch) = self.epoch.filter(|epoch| fresh && other.epoch >= *epoch) else { return Ok(()) };
-        // A later epoch is ahead of any version of this one.
+    /// Checks whether the current source is to be abandoned given the version that another source has.
+    pub fn compare(&mut self, now: Instant, other: &Revision) -> Result<(), SourceError> {
+        let is_fresh = u128::from(other.stale_ms) < STALE_AFTER.as_millis();
+        let Some(epoch) = self.epoch.filter(|epoch| is_fresh && other.epoch >= *epoch) else { return Ok(()) };
+        // A later epoch is ahead of every version of the current one.
         let rev = if other.epoch > epoch { u64::MAX } else { other.rev };
-        if self.stale && rev >= self.rev {
-            return Err(Odd::Stale);
+        if self.is_stale && rev >= self.rev {
+            return Err(SourceError::Stale);
         }
-        if rev > self.rev && self.behind.is_none() {
-            self.behind = Some((rev, now + CATCH_UP));
+        if rev > self.rev && self.catch_up.is_none() {
+            self.catch_up = Some((rev, now + CATCH_UP_TIMEOUT));
         }
         Ok(())
     }
 }
 
+/// Applies an update to the set of servers that are up.
 fn apply(up: &mut HashSet<String>, list: &HostList) {
     for target in &list.targets {
         if target.is_up() {
@@ -282,187 +290,218 @@
         serde_json::from_str(&text).unwrap()
     }
 
-    fn whole(epoch: Option<u64>, rev: u64, servers: usize) -> HostList {
+    fn full_list(epoch: Option<u64>, rev: u64, servers: usize) -> HostList {
         let targets = (0..servers).map(|n| target(&format!("s{n}"), "up")).collect();
         HostList { rev, all: true, epoch, targets, ..HostList::default() }
     }
 
-    fn change(epoch: Option<u64>, rev: u64) -> HostList {
+    fn delta(epoch: Option<u64>, rev: u64) -> HostList {
         HostList { rev, epoch, targets: vec![target("s0", "up")], ..HostList::default() }
     }
 
-    fn sources(places: usize) -> Sources {
-        let places = (0..places).map(|n| SocketAddr::from(([127, 0, 0, 1], 9_000 + n as u16))).collect();
-        Sources::new(places, &HostList::default())
+    fn new_sources(addresses: usize) -> Sources {
+        let addresses =
+            (0..addresses).map(|n| SocketAddr::from(([127, 0, 0, 1], 9_000 + n as u16))).collect();
+        Sources::new(addresses, &HostList::default())
     }
 
-    const FULL: Heard = Heard::Take(ListScope::Full);
-    const DELTA: Heard = Heard::Take(ListScope::Delta);
+    const FULL: UpdateDecision = UpdateDecision::Apply(ListScope::Full);
+    const DELTA: UpdateDecision = UpdateDecision::Apply(ListScope::Delta);
 
     #[test]
-    fn a_lone_source_without_epochs_is_believed_as_ever() {
-        let mut it = sources(1);
-        assert_eq!(it.begin(), "/discovery/hosts?stream=1&index=0");
-        assert_eq!(it.hear(&whole(None, 41, 3)), FULL);
-        assert_eq!(it.hear(&whole(None, 41, 3)), Heard::Repeat);
-        assert_eq!(it.hear(&change(None, 42)), DELTA);
-        assert_eq!(it.hear(&change(None, 42)), Heard::Repeat);
-        it.ended();
-        assert_eq!(it.begin(), "/discovery/hosts?stream=1&index=42");
-        assert_eq!(it.goes_on(Instant::now(), None), Ok(()));
-        assert_eq!(it.hear(&change(None, 40)), Heard::Repeat);
-        // Begun anew, after a sign of life or a line too old, and empty at that.
-        assert_eq!(it.hear(&whole(None, 7, 0)), FULL);
-        assert_eq!(it.known(), (7, None));
+    fn a_single_source_without_epochs_may_start_over_with_any_version() {
+        let mut sources = new_sources(1);
+        assert_eq!(sources.start_watch(), "/discovery/hosts?stream=1&index=0");
+        assert_eq!(sources.evaluate(&full_list(None, 41, 3)), FULL);
+        assert_eq!(sources.evaluate(&full_list(None, 41, 3)), UpdateDecision::Duplicate);
+        assert_eq!(sources.evaluate(&delta(None, 42)), DELTA);
+        assert_eq!(sources.evaluate(&delta(None, 42)), UpdateDecision::Duplicate);
+        sources.advance();
+        assert_eq!(sources.start_watch(), "/discovery/hosts?stream=1&index=42");
+        assert_eq!(sources.check_source(Instant::now(), None), Ok(()));
+        assert_eq!(sources.evaluate(&delta(None, 40)), UpdateDecision::Duplicate);
+        // A full list starts over after a heartbeat or an outdated update, even with a lower version and no
+        // servers.
+        assert_eq!(sources.evaluate(&full_list(None, 7, 0)), FULL);
+        assert_eq!(sources.known(), (7, None));
     }
 
     #[test]
-    fn the_next_source_goes_on_from_the_version_known() {
-        let mut it = sources(3);
-        it.begin();
-        assert_eq!(it.hear(&whole(Some(9), 100, 4)), FULL);
+    fn the_next_source_continues_from_the_current_version() {
+        let mut sources = new_sources(3);
+        sources.start_watch();
+        assert_eq!(sources.evaluate(&full_list(Some(9), 100, 4)), FULL);
         for place in [1, 2, 0] {
-            it.ended();
-            assert_eq!(it.place().0, place);
-            assert_eq!(it.begin(), "/discovery/hosts?stream=1&index=100&epoch=9");
+            sources.advance();
+            assert_eq!(sources.current().0, place);
+            assert_eq!(sources.start_watch(), "/discovery/hosts?stream=1&index=100&epoch=9");
         }
-        assert_eq!(it.hear(&change(Some(9), 101)), DELTA);
+        assert_eq!(sources.evaluate(&delta(Some(9), 101)), DELTA);
     }
 
     #[test]
-    fn an_older_list_of_the_same_epoch_is_never_taken() {
-        for places in [1, 2] {
-            let mut it = sources(places);
-            it.begin();
-            assert_eq!(it.hear(&whole(Some(9), 100, 4)), FULL);
-            it.ended();
-            it.begin();
-            assert_eq!(it.hear(&whole(Some(9), 99, 4)), Heard::Leave(Odd::Older));
-            it.move_to(it.places.clone());
-            it.begin();
-            assert_eq!(it.hear(&whole(Some(9), 99, 4)), Heard::Leave(Odd::Older));
-            it.begin();
-            assert_eq!(it.hear(&whole(Some(9), 100, 4)), Heard::Repeat, "nothing to do");
-            assert_eq!(it.hear(&change(Some(9), 101)), DELTA);
+    fn an_older_list_of_the_same_epoch_is_never_accepted() {
+        for addresses in [1, 2] {
+            let mut sources = new_sources(addresses);
+            sources.start_watch();
+            assert_eq!(sources.evaluate(&full_list(Some(9), 100, 4)), FULL);
+            sources.advance();
+            sources.start_watch();
+            assert_eq!(
+                sources.evaluate(&full_list(Some(9), 99, 4)),
+                UpdateDecision::Reject(SourceError::Outdated)
+            );
+            sources.replace(sources.addresses.clone());
+            sources.start_watch();
+            assert_eq!(
+                sources.evaluate(&full_list(Some(9), 99, 4)),
+                UpdateDecision::Reject(SourceError::Outdated)
+            );
+            sources.start_watch();
+            assert_eq!(
+                sources.evaluate(&full_list(Some(9), 100, 4)),
+                UpdateDecision::Duplicate,
+                "nothing to do"
+            );
+            assert_eq!(sources.evaluate(&delta(Some(9), 101)), DELTA);
         }
     }
 
     #[test]
-    fn a_list_lost_and_begun_anew_is_taken_and_the_old_one_never_again() {
-        let mut it = sources(2);
-        it.begin();
-        assert_eq!(it.hear(&whole(Some(9), 100, 4)), FULL);
-        assert_eq!(it.hear(&whole(Some(12), 5, 4)), FULL, "on the same watch, though its version is lower");
+    fn a_list_of_a_new_epoch_is_accepted_and_former_epochs_never_again() {
+        let mut sources = new_sources(2);
+        sources.start_watch();
+        assert_eq!(sources.evaluate(&full_list(Some(9), 100, 4)), FULL);
+        assert_eq!(
+            sources.evaluate(&full_list(Some(12), 5, 4)),
+            FULL,
+            "on the same watch, though its version is lower"
+        );
         for mirror in [false, true] {
-            it.begin();
-            let old = HostList { mirror, ..whole(Some(9), 200, 4) };
-            assert_eq!(it.hear(&old), Heard::Leave(Odd::Older));
+            sources.start_watch();
+            let former = HostList { mirror, ..full_list(Some(9), 200, 4) };
+            assert_eq!(sources.evaluate(&former), UpdateDecision::Reject(SourceError::Outdated));
         }
-        it.begin();
-        let lags = HostList { mirror: true, ..whole(Some(11), 200, 4) };
-        assert_eq!(it.hear(&lags), Heard::Leave(Odd::Older), "a mirror of an epoch between the two");
-        it.begin();
-        assert_eq!(it.hear(&whole(Some(11), 1, 4)), FULL, "the writer, its clock set back");
-        it.begin();
-        assert_eq!(it.hear(&change(Some(14), 300)), Heard::Leave(Odd::OtherList));
-        assert_eq!(it.begin(), "/discovery/hosts?stream=1&index=0");
+        sources.start_watch();
+        let lagging = HostList { mirror: true, ..full_list(Some(11), 200, 4) };
+        assert_eq!(
+            sources.evaluate(&lagging),
+            UpdateDecision::Reject(SourceError::Outdated),
+            "a mirror with an epoch between the two"
+        );
+        sources.start_watch();
+        assert_eq!(
+            sources.evaluate(&full_list(Some(11), 1, 4)),
+            FULL,
+            "the writer after its clock was set back"
+        );
+        sources.start_watch();
+        assert_eq!(sources.evaluate(&delta(Some(14), 300)), UpdateDecision::Reject(SourceError::OtherList));
+        assert_eq!(sources.start_watch(), "/discovery/hosts?stream=1&index=0");
     }
 
     #[test]
-    fn a_list_without_epoch_replaces_one_with_an_epoch_only_alone_or_after_a_move() {
-        for (places, moved, heard) in
-            [(1, false, FULL), (2, false, Heard::Leave(Odd::OtherList)), (2, true, FULL)]
+    fn a_list_without_epoch_replaces_one_with_an_epoch_only_from_a_single_or_replaced_source() {
+        for (addresses, were_replaced, decision) in
+            [(1, false, FULL), (2, false, UpdateDecision::Reject(SourceError::OtherList)), (2, true, FULL)]
         {
-            let mut it = sources(places);
-            it.begin();
-            assert_eq!(it.hear(&whole(Some(9), 100, 4)), FULL);
-            if moved {
-                it.move_to(it.places.clone());
+            let mut sources = new_sources(addresses);
+            sources.start_watch();
+            assert_eq!(sources.evaluate(&full_list(Some(9), 100, 4)), FULL);
+            if were_replaced {
+                sources.replace(sources.addresses.clone());
             }
-            it.begin();
-            assert_eq!(it.hear(&whole(None, 3, 4)), heard, "{places} {moved}");
+            sources.start_watch();
+            assert_eq!(sources.evaluate(&full_list(None, 3, 4)), decision, "{addresses} {were_replaced}");
         }
     }
 
     #[test]
-    fn memory_of_epochs_is_bounded() {
-        let mut it = sources(2);
+    fn the_number_of_remembered_epochs_is_bounded() {
+        let mut sources = new_sources(2);
         for epoch in 1..100 {
-            it.begin();
-            assert_eq!(it.hear(&whole(Some(epoch), 1, 4)), FULL);
+            sources.start_watch();
+            assert_eq!(sources.evaluate(&full_list(Some(epoch), 1, 4)), FULL);
         }
-        assert_eq!(it.left.len(), LEFT_MAX);
+        assert_eq!(sources.retired_epochs.len(), RETIRED_EPOCHS_MAX);
     }
 
     #[test]
-    fn a_list_of_hardly_any_server_is_suspect_where_another_source_can_be_asked() {
-        let mut gone = change(Some(9), 101);
-        gone.targets = (0..7).map(|n| target(&format!("s{n}"), "removed")).collect();
-        for suspect in [whole(Some(9), 101, 0), whole(Some(9), 101, 1), gone] {
-            for (places, suspected) in [(1, false), (2, true)] {
-                let mut it = sources(places);
-                it.begin();
-                assert_eq!(it.hear(&whole(Some(9), 100, 8)), FULL);
-                it.begin();
-                assert_eq!(matches!(it.hear(&suspect), Heard::Suspect(_)), suspected);
-                if suspected {
-                    assert_eq!(it.known().0, 100, "nothing noted yet");
-                    assert!(it.refutes(&whole(Some(9), 101, 8), &suspect));
-                    assert!(!it.refutes(&whole(Some(9), 100, 8), &suspect), "older");
-                    assert!(!it.refutes(&whole(Some(8), 101, 8), &suspect), "another list");
-                    assert!(!it.refutes(&whole(Some(9), 102, 1), &suspect), "as empty");
-                    let stale = HostList { stale_ms: Some(9_000), ..whole(Some(9), 101, 8) };
-                    assert!(!it.refutes(&stale, &suspect), "stale");
-                    it.accept(&suspect);
-                    assert_eq!(it.known().0, 101);
+    fn a_nearly_empty_list_is_verified_if_there_is_another_source() {
+        let mut removals = delta(Some(9), 101);
+        removals.targets = (0..7).map(|n| target(&format!("s{n}"), "removed")).collect();
+        for suspect in [full_list(Some(9), 101, 0), full_list(Some(9), 101, 1), removals] {
+            for (addresses, is_verified) in [(1, false), (2, true)] {
+                let mut sources = new_sources(addresses);
+                sources.start_watch();
+                assert_eq!(sources.evaluate(&full_list(Some(9), 100, 8)), FULL);
+                sources.start_watch();
+                assert_eq!(matches!(sources.evaluate(&suspect), UpdateDecision::Verify(_)), is_verified);
+                if is_verified {
+                    assert_eq!(sources.known().0, 100, "nothing recorded yet");
+                    assert!(sources.refutes(&full_list(Some(9), 101, 8), &suspect));
+                    assert!(!sources.refutes(&full_list(Some(9), 100, 8), &suspect), "older");
+                    assert!(!sources.refutes(&full_list(Some(8), 101, 8), &suspect), "another list");
+                    assert!(!sources.refutes(&full_list(Some(9), 102, 1), &suspect), "as empty");
+                    let stale = HostList { stale_ms: Some(9_000), ..full_list(Some(9), 101, 8) };
+                    assert!(!sources.refutes(&stale, &suspect), "stale");
+                    sources.accept(&suspect);
+                    assert_eq!(sources.known().0, 101);
                 }
             }
         }
-        let mut it = sources(2);
-        it.begin();
-        assert_eq!(it.hear(&whole(Some(9), 100, 8)), FULL);
-        assert_eq!(it.hear(&whole(Some(9), 101, 2)), FULL, "a quarter is no emptiness");
+        let mut sources = new_sources(2);
+        sources.start_watch();
+        assert_eq!(sources.evaluate(&full_list(Some(9), 100, 8)), FULL);
+        assert_eq!(sources.evaluate(&full_list(Some(9), 101, 2)), FULL, "a quarter of the servers is enough");
     }
 
     #[test]
-    fn a_stale_source_is_left_unless_all_others_were_in_vain() {
+    fn a_stale_source_is_abandoned_unless_all_others_have_failed() {
         let (now, stale) = (Instant::now(), Some(6_000));
-        let mut it = sources(3);
-        it.begin();
-        assert_eq!(it.hear(&whole(Some(9), 100, 4)), FULL);
-        assert_eq!(it.goes_on(now, Some(1_000)), Ok(()), "a moment is not stale");
-        for place in [0, 1] {
-            assert_eq!((it.place().0, it.goes_on(now, stale)), (place, Err(Odd::Stale)));
-            it.ended();
-            it.begin();
+        let mut sources = new_sources(3);
+        sources.start_watch();
+        assert_eq!(sources.evaluate(&full_list(Some(9), 100, 4)), FULL);
+        assert_eq!(sources.check_source(now, Some(1_000)), Ok(()), "one second is not stale");
+        for index in [0, 1] {
+            assert_eq!(
+                (sources.current().0, sources.check_source(now, stale)),
+                (index, Err(SourceError::Stale))
+            );
+            sources.advance();
+            sources.start_watch();
         }
-        assert_eq!(it.goes_on(now, stale), Ok(()), "better than none");
+        assert_eq!(sources.check_source(now, stale), Ok(()), "a stale source is better than none");
         let fresh = Revision { rev: 100, epoch: 9, stale_ms: 0 };
-        assert_eq!(it.compare(now, &Revision { stale_ms: 7_000, ..fresh.clone() }), Ok(()));
-        assert_eq!(it.compare(now, &fresh), Err(Odd::Stale));
-        it.ended();
-        it.begin();
-        assert_eq!(it.goes_on(now, None), Ok(()));
-        assert_eq!(it.goes_on(now, stale), Err(Odd::Stale), "all others may be better again");
+        assert_eq!(sources.compare(now, &Revision { stale_ms: 7_000, ..fresh.clone() }), Ok(()));
+        assert_eq!(sources.compare(now, &fresh), Err(SourceError::Stale));
+        sources.advance();
+        sources.start_watch();
+        assert_eq!(sources.check_source(now, None), Ok(()));
+        assert_eq!(
+            sources.check_source(now, stale),
+            Err(SourceError::Stale),
+            "the other sources may have recovered"
+        );
     }
 
     #[test]
-    fn a_source_that_does_not_come_up_to_another_is_left() {
-        let (now, later) = (Instant::now(), Instant::now() + CATCH_UP);
-        for (other, told, left) in [
+    fn a_source_that_does_not_catch_up_with_another_is_abandoned() {
+        let (now, later) = (Instant::now(), Instant::now() + CATCH_UP_TIMEOUT);
+        for (other, received, is_abandoned) in [
             (Revision { rev: 103, epoch: 9, stale_ms: 0 }, 102, true),
             (Revision { rev: 103, epoch: 9, stale_ms: 0 }, 103, false),
             (Revision { rev: 5, epoch: 10, stale_ms: 0 }, 103, true),
             (Revision { rev: 500, epoch: 8, stale_ms: 0 }, 101, false),
             (Revision { rev: 500, epoch: 9, stale_ms: 60_000 }, 101, false),
         ] {
-            let mut it = sources(2);
-            it.begin();
-            assert_eq!(it.hear(&whole(Some(9), 100, 4)), FULL);
-            assert_eq!(it.compare(now, &other), Ok(()));
-            assert_eq!(it.goes_on(now, None), Ok(()), "it has its time");
-            assert_eq!(it.hear(&change(Some(9), told)), DELTA);
-            assert_eq!(it.goes_on(later, None).is_err(), left, "{other:?}");
+            let mut sources = new_sources(2);
+            sources.start_watch();
+            assert_eq!(sources.evaluate(&full_list(Some(9), 100, 4)), FULL);
+            assert_eq!(sources.compare(now, &other), Ok(()));
+            assert_eq!(sources.check_source(now, None), Ok(()), "the deadline has not passed");
+            assert_eq!(sources.evaluate(&delta(Some(9), received)), DELTA);
+            assert_eq!(sources.check_source(later, None).is_err(), is_abandoned, "{other:?}");
         }
     }
 }
