--- a/crates/list-service/src/change_feed.rs
+++ b/crates/list-service/src/change_feed.rs
@@ -1,61 +1,70 @@
-//! The list as it is told, and the last changes in one ring that all watchers share. No I/O.
+//! The published list and a bounded history of its changes, which all watchers share. Performs no I/O.
 
 use bytes::Bytes;
 use granitelead_list::forms::{HostList, Revision, Target};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
-/// Changes kept for watchers that were away.
-pub const RING: usize = 4_096;
-/// Lines of changes kept once rendered.
-const RENDERED_MAX: usize = 64;
+/// Number of changes kept for watchers that reconnect.
+pub const HISTORY_MAX: usize = 4_096;
+/// Maximum number of rendered deltas that are cached.
+const CACHED_DELTAS_MAX: usize = 64;
 
-/// Up to where a watcher has been told.
+/// A position in the sequence of versions, such as the one up to which a watcher has received the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
     /// See [`HostList::epoch`].
     pub epoch: u64,
-    /// The version.
+    /// Version of the list.
     pub rev: u64,
 }
 
 struct Entry {
+    /// Version in which the server last changed.
     rev: u64,
     target: Target,
 }
 
-/// What is told.
-pub struct Board {
-    at: Position,
-    mirror: bool,
-    /// By uid; those removed for as long as the ring names them.
+/// The published list and its recent changes.
+pub struct ChangeFeed {
+    position: Position,
+    is_mirror: bool,
+    /// The servers by uid; a removed one stays as long as the history contains it.
     entries: BTreeMap<String, Entry>,
-    ring: VecDeque<(u64, String)>,
-    ring_max: usize,
-    /// Watchers up to here need the whole list.
-    floor: u64,
-    whole: Option<Bytes>,
-    changes: Vec<(u64, Bytes)>,
+    /// The last changes: version and uid.
+    history: VecDeque<(u64, String)>,
+    history_max: usize,
+    /// Watchers at an older version than this need the full list.
+    oldest_rev: u64,
+    /// The rendered full list, if it is cached.
+    full_list: Option<Bytes>,
+    /// Rendered deltas to the current version, by the version from which they start.
+    cached_deltas: Vec<(u64, Bytes)>,
 }
 
-impl Board {
-    /// Begins with a list at a version.
-    pub fn new(at: Position, list: impl IntoIterator<Item = Target>, mirror: bool, ring_max: usize) -> Board {
-        let entry = |target: Target| (target.uid.clone(), Entry { rev: at.rev, target });
-        Board {
-            at,
-            mirror,
+impl ChangeFeed {
+    /// Starts with `list` at `position` and an empty history of at most `history_max` changes.
+    pub fn new(
+        position: Position,
+        list: impl IntoIterator<Item = Target>,
+        is_mirror: bool,
+        history_max: usize,
+    ) -> ChangeFeed {
+        let entry = |target: Target| (target.uid.clone(), Entry { rev: position.rev, target });
+        ChangeFeed {
+            position,
+            is_mirror,
             entries: list.into_iter().map(entry).collect(),
-            ring: VecDeque::new(),
-            ring_max,
-            floor: at.rev,
-            whole: None,
-            changes: Vec::new(),
+            history: VecDeque::new(),
+            history_max,
+            oldest_rev: position.rev,
+            full_list: None,
+            cached_deltas: Vec::new(),
         }
     }
 
     /// The newest version.
-    pub fn at(&self) -> Position {
-        self.at
+    pub fn position(&self) -> Position {
+        self.position
     }
 
     /// The servers listed.
@@ -63,40 +72,41 @@
         self.entries.values().map(|entry| &entry.target).filter(|target| !target.is_removed())
     }
 
-    /// A server is listed like this from a version on, which is the newest, or the newest already.
+    /// Publishes the state of a server in version `rev`, which is a new version or the newest one.
     pub fn publish(&mut self, rev: u64, target: Target) {
-        self.ring.push_back((rev, target.uid.clone()));
+        self.history.push_back((rev, target.uid.clone()));
         self.entries.insert(target.uid.clone(), Entry { rev, target });
-        self.come_to(rev);
+        self.advance_to(rev);
     }
 
-    fn come_to(&mut self, rev: u64) {
-        self.at.rev = rev;
-        self.whole = None;
-        self.changes.clear();
-        while self.ring.len() > self.ring_max {
-            let Some((rev, uid)) = self.ring.pop_front() else { break };
-            self.floor = rev;
-            // Nobody can ask any more what has become of it.
+    /// Sets the newest version, clears the caches and trims the history.
+    fn advance_to(&mut self, rev: u64) {
+        self.position.rev = rev;
+        self.full_list = None;
+        self.cached_deltas.clear();
+        while self.history.len() > self.history_max {
+            let Some((rev, uid)) = self.history.pop_front() else { break };
+            self.oldest_rev = rev;
+            // No watcher can need this removal any more.
             if self.entries.get(&uid).is_some_and(|entry| entry.rev <= rev && entry.target.is_removed()) {
                 self.entries.remove(&uid);
             }
         }
     }
 
-    /// Takes in what another board tells.
-    pub fn follow(&mut self, list: HostList) {
+    /// Applies a full list or a delta received from another list service.
+    pub fn apply(&mut self, list: HostList) {
         let epoch = list.epoch.unwrap_or(0);
-        if epoch != self.at.epoch {
-            let at = Position { epoch, rev: list.rev };
-            *self = Board::new(at, list.targets, self.mirror, self.ring_max);
+        if epoch != self.position.epoch {
+            let position = Position { epoch, rev: list.rev };
+            *self = ChangeFeed::new(position, list.targets, self.is_mirror, self.history_max);
             return;
         }
         if list.all {
-            let named: HashSet<&str> = list.targets.iter().map(|target| target.uid.as_str()).collect();
-            let gone: Vec<Target> =
-                self.listed().filter(|target| !named.contains(target.uid.as_str())).cloned().collect();
-            for target in gone {
+            let listed: HashSet<&str> = list.targets.iter().map(|target| target.uid.as_str()).collect();
+            let removed: Vec<Target> =
+                self.listed().filter(|target| !listed.contains(target.uid.as_str())).cloned().collect();
+            for target in removed {
                 self.publish(list.rev, Target { state: "removed".into(), ..target });
             }
         }
@@ -105,62 +115,68 @@
                 self.publish(list.rev, target);
             }
         }
-        self.come_to(list.rev);
+        self.advance_to(list.rev);
     }
 
-    /// The version alone.
+    /// The newest version as a response.
     pub fn revision(&self, stale_ms: u64) -> Revision {
-        Revision { rev: self.at.rev, epoch: self.at.epoch, stale_ms }
+        Revision { rev: self.position.rev, epoch: self.position.epoch, stale_ms }
     }
 
-    /// The whole list.
-    pub fn whole(&mut self) -> Bytes {
-        let line = self.whole.take().unwrap_or_else(|| self.whole_line(None));
-        self.whole = Some(line.clone());
+    /// The full list as a JSON line.
+    pub fn full_list(&mut self) -> Bytes {
+        let line = self.full_list.take().unwrap_or_else(|| self.render_full_list(None));
+        self.full_list = Some(line.clone());
         line
     }
 
-    /// The same, with how stale it is.
-    pub fn stale_whole(&self, stale_ms: u64) -> Bytes {
-        self.whole_line(Some(stale_ms))
+    /// The full list as a JSON line that states how stale it is.
+    pub fn stale_full_list(&self, stale_ms: u64) -> Bytes {
+        self.render_full_list(Some(stale_ms))
     }
 
-    fn whole_line(&self, stale_ms: Option<u64>) -> Bytes {
+    fn render_full_list(&self, stale_ms: Option<u64>) -> Bytes {
         let targets = self.listed().cloned().collect();
-        self.line(HostList { all: true, stale_ms, targets, ..HostList::default() })
+        self.render(HostList { all: true, stale_ms, targets, ..HostList::default() })
     }
 
-    /// What a watcher has yet to be told, in one line; none if nothing. It is then at the newest version.
-    pub fn next(&mut self, told: &mut Position) -> Option<Bytes> {
-        let from = std::mem::replace(told, self.at);
-        if from.epoch != self.at.epoch || from.rev < self.floor {
-            return Some(self.whole());
+    /// Returns the line that brings a watcher at `position` to the newest version, or none if it is already
+    /// there, and advances `position` to the newest version.
+    pub fn next_line(&mut self, position: &mut Position) -> Option<Bytes> {
+        let from = std::mem::replace(position, self.position);
+        if from.epoch != self.position.epoch || from.rev < self.oldest_rev {
+            return Some(self.full_list());
         }
-        if from.rev >= self.at.rev {
+        if from.rev >= self.position.rev {
             return None;
         }
-        if let Some((_, line)) = self.changes.iter().find(|(rev, _)| *rev == from.rev) {
+        if let Some((_, line)) = self.cached_deltas.iter().find(|(rev, _)| *rev == from.rev) {
             return Some(line.clone());
         }
-        let first = self.ring.partition_point(|(rev, _)| *rev <= from.rev);
-        let mut named = HashSet::new();
-        let changed = self.ring.range(first..).filter(|(_, uid)| named.insert(uid.as_str()));
+        let first = self.history.partition_point(|(rev, _)| *rev <= from.rev);
+        let mut seen = HashSet::new();
+        let changed = self.history.range(first..).filter(|(_, uid)| seen.insert(uid.as_str()));
         let targets = changed.filter_map(|(_, uid)| Some(self.entries.get(uid)?.target.clone())).collect();
-        let line = self.line(HostList { targets, ..HostList::default() });
-        if self.changes.len() < RENDERED_MAX {
-            self.changes.push((from.rev, line.clone()));
+        let line = self.render(HostList { targets, ..HostList::default() });
+        if self.cached_deltas.len() < CACHED_DELTAS_MAX {
+            self.cached_deltas.push((from.rev, line.clone()));
         }
         Some(line)
     }
 
-    /// A change of nothing that tells how stale the list is.
-    pub fn stale(&self, stale_ms: u64) -> Bytes {
-        self.line(HostList { stale_ms: Some(stale_ms), ..HostList::default() })
+    /// An empty delta that states how stale the list is.
+    pub fn stale_heartbeat(&self, stale_ms: u64) -> Bytes {
+        self.render(HostList { stale_ms: Some(stale_ms), ..HostList::default() })
     }
 
-    fn line(&self, list: HostList) -> Bytes {
-        let list = HostList { rev: self.at.rev, epoch: Some(self.at.epoch), mirror: self.mirror, ..list };
-        // Such a list always has a form.
+    fn render(&self, list: HostList) -> Bytes {
+        let list = HostList {
+            rev: self.position.rev,
+            epoch: Some(self.position.epoch),
+            mirror: self.is_mirror,
+            ..list
+        };
+        // Serializing a list can't fail.
         let mut line = serde_json::to_vec(&list).unwrap_or_default();
         line.push(b'\n');
         line.into()
@@ -174,162 +190,170 @@
     use crate::registry::{Record, Registry};
     use granitelead_list::forms::{OnLease, Register};
 
-    /// What a watcher has of the list.
+    /// The list as received by one watcher.
     #[derive(Default)]
     struct Watcher {
-        told: Option<Position>,
+        position: Option<Position>,
         list: BTreeMap<String, Target>,
     }
 
     impl Watcher {
-        /// Reads all that there is for it; a change that it has been told already is none.
-        fn read(&mut self, board: &mut Board) {
-            let mut told = self.told.unwrap_or(Position { epoch: 0, rev: 0 });
-            while let Some(line) = board.next(&mut told) {
+        /// Reads all pending lines and checks that no change is received twice.
+        fn read(&mut self, feed: &mut ChangeFeed) {
+            let mut position = self.position.unwrap_or(Position { epoch: 0, rev: 0 });
+            while let Some(line) = feed.next_line(&mut position) {
                 assert_eq!(line.last(), Some(&b'\n'));
                 let list: HostList = serde_json::from_slice(&line).unwrap();
-                assert!(self.told.is_none_or(|told| list.rev > told.rev || list.epoch != Some(told.epoch)));
+                assert!(self
+                    .position
+                    .is_none_or(|position| list.rev > position.rev || list.epoch != Some(position.epoch)));
                 if list.all {
                     self.list.clear();
                 }
                 for target in list.targets {
                     let uid = target.uid.clone();
-                    let after = self.told.is_none_or(|told| board.entries[&uid].rev > told.rev);
-                    assert!(list.all || after, "shown twice");
+                    let is_new = self.position.is_none_or(|position| feed.entries[&uid].rev > position.rev);
+                    assert!(list.all || is_new, "change sent twice");
                     if target.is_removed() {
                         self.list.remove(&uid);
                     } else {
                         self.list.insert(uid, target);
                     }
                 }
-                self.told = Some(told);
+                self.position = Some(position);
             }
         }
 
-        fn has(&self, board: &Board) -> bool {
-            self.list.values().eq(board.listed())
+        fn matches(&self, feed: &ChangeFeed) -> bool {
+            self.list.values().eq(feed.listed())
         }
     }
 
-    /// Does something to the leases at random; gives what has changed.
-    fn change(rng: &mut fastrand::Rng, registry: &mut Registry, leases: &mut Vec<OnLease>) -> Vec<Record> {
+    /// Makes a random request to the registry; returns the resulting changes.
+    fn random_request(
+        rng: &mut fastrand::Rng,
+        registry: &mut Registry,
+        leases: &mut Vec<OnLease>,
+    ) -> Vec<Record> {
         let uid = format!("s{}", rng.u32(..12));
         let held = leases.iter().position(|lease| lease.uid == uid);
-        let done = match (rng.u32(..4), held) {
+        let result = match (rng.u32(..4), held) {
             (0 | 1, _) | (_, None) => {
-                let boot_ms = registry.at().0 * u64::from(rng.bool());
+                let boot_ms = registry.counters().0 * u64::from(rng.bool());
                 let call = Register { capacity_hint: f64::from(rng.u32(1..3)), ..call(&uid, boot_ms) };
-                registry.register(0, UNIX, call).map(|(told, record)| {
+                registry.register(0, UNIX, call).map(|(grant, record)| {
                     leases.retain(|lease| lease.uid != uid);
-                    leases.push(OnLease { uid, lease: told.lease });
+                    leases.push(OnLease { uid, lease: grant.lease });
                     record
                 })
             }
             (2, Some(held)) => registry.drain(0, &leases[held]).map(|(_, record)| record),
             (_, Some(held)) => registry.deregister(&leases.swap_remove(held)).map(|(_, record)| record),
         };
-        // What an old process asks for is refused, and no change.
-        done.ok().flatten().into_iter().collect()
+        // A request of a former process is refused and changes nothing.
+        result.ok().flatten().into_iter().collect()
     }
 
-    /// Any order of changes, of disks written late, of watchers that read when they like, break off and go to
-    /// a mirror and back, of a small ring, and of starts with the leases that were kept or without.
+    /// Covers random orders of changes, delayed disk writes, watchers that read at any time and switch to a
+    /// mirror and back, short histories, and restarts with or without a new epoch.
     #[test]
-    fn every_watcher_comes_to_the_list_whatever_the_order() {
+    fn every_watcher_converges_to_the_list_in_any_order_of_events() {
         for seed in 0..300 {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let ring = rng.usize(1..20);
+            let history = rng.usize(1..20);
             let mut epoch = 100;
             let mut registry = Registry::new((0, 0), [], 1_000, 0);
-            let mut board = Board::new(Position { epoch, rev: 0 }, [], false, ring);
-            let mut mirror = Board::new(Position { epoch: 0, rev: 0 }, [], true, ring);
-            let mut mirrored = Position { epoch: 0, rev: 0 };
+            let mut feed = ChangeFeed::new(Position { epoch, rev: 0 }, [], false, history);
+            let mut mirror = ChangeFeed::new(Position { epoch: 0, rev: 0 }, [], true, history);
+            let mut mirror_position = Position { epoch: 0, rev: 0 };
             let (mut leases, mut pending) = (Vec::new(), Vec::new());
             let mut watchers: Vec<Watcher> = (0..6).map(|_| Watcher::default()).collect();
             let mut highest = 0;
             for _ in 0..200 {
                 match rng.u32(..10) {
-                    0..=4 => pending.extend(change(&mut rng, &mut registry, &mut leases)),
+                    0..=4 => pending.extend(random_request(&mut rng, &mut registry, &mut leases)),
                     5 => {
                         for record in pending.drain(..) {
                             assert!(record.rev > highest, "a version is used twice");
                             highest = record.rev;
-                            board.publish(record.rev, record.target);
+                            feed.publish(record.rev, record.target);
                         }
                     }
                     6 => {
-                        if let Some(line) = board.next(&mut mirrored) {
-                            mirror.follow(serde_json::from_slice(&line).unwrap());
+                        if let Some(line) = feed.next_line(&mut mirror_position) {
+                            mirror.apply(serde_json::from_slice(&line).unwrap());
                         }
                     }
                     7 | 8 => {
                         let one = rng.usize(..watchers.len());
-                        watchers[one].read(&mut board);
-                        assert!(watchers[one].has(&board), "seed {seed}");
+                        watchers[one].read(&mut feed);
+                        assert!(watchers[one].matches(&feed), "seed {seed}");
                     }
                     _ if rng.u32(..8) == 0 => {
-                        // A start: what was not on the disk was told to nobody.
+                        // A restart: changes that were not on disk had not been published.
                         pending.clear();
-                        let kept: Vec<Target> = board.listed().cloned().collect();
-                        let rev = highest.max(registry.at().0) + 10;
+                        let saved: Vec<Target> = feed.listed().cloned().collect();
+                        let rev = highest.max(registry.counters().0) + 10;
                         epoch += u64::from(rng.bool());
                         let record = |target: Target| Record { rev, lease: 1, ttl_ms: 5_000, target };
-                        registry = Registry::new((rev, rev), kept.iter().cloned().map(record), 1_000, 0);
+                        registry = Registry::new((rev, rev), saved.iter().cloned().map(record), 1_000, 0);
                         leases.clear();
-                        board = Board::new(Position { epoch, rev }, kept, false, ring);
+                        feed = ChangeFeed::new(Position { epoch, rev }, saved, false, history);
                     }
                     _ => {
-                        // A watcher that goes to the mirror, which may lag and is then of no use to it.
+                        // A watcher switches to the mirror, unless that lags behind the watcher.
                         let one = rng.usize(..watchers.len());
-                        if watchers[one]
-                            .told
-                            .is_none_or(|t| t.epoch == mirror.at().epoch && t.rev <= mirror.at().rev)
-                            && mirror.at().epoch > 0
+                        if watchers[one].position.is_none_or(|p| {
+                            p.epoch == mirror.position().epoch && p.rev <= mirror.position().rev
+                        }) && mirror.position().epoch > 0
                         {
-                            watchers[one].told = None;
+                            watchers[one].position = None;
                             watchers[one].list.clear();
                             watchers[one].read(&mut mirror);
-                            assert!(watchers[one].has(&mirror), "seed {seed}");
+                            assert!(watchers[one].matches(&mirror), "seed {seed}");
                         }
                     }
                 }
-                assert!(board.ring.len() <= ring && board.entries.len() <= 12 + ring);
-                assert!(mirror.ring.len() <= ring.max(12) && mirror.entries.len() <= 24 + ring);
+                assert!(feed.history.len() <= history && feed.entries.len() <= 12 + history);
+                assert!(mirror.history.len() <= history.max(12) && mirror.entries.len() <= 24 + history);
             }
-            pending.drain(..).for_each(|record| board.publish(record.rev, record.target));
-            while let Some(line) = board.next(&mut mirrored) {
-                mirror.follow(serde_json::from_slice(&line).unwrap());
+            pending.drain(..).for_each(|record| feed.publish(record.rev, record.target));
+            while let Some(line) = feed.next_line(&mut mirror_position) {
+                mirror.apply(serde_json::from_slice(&line).unwrap());
             }
-            assert_eq!((mirror.at(), mirror.listed().count()), (board.at(), board.listed().count()));
+            assert_eq!(
+                (mirror.position(), mirror.listed().count()),
+                (feed.position(), feed.listed().count())
+            );
             for watcher in &mut watchers {
-                watcher.read(&mut board);
-                assert!(watcher.has(&board) && watcher.has(&mirror), "seed {seed}");
+                watcher.read(&mut feed);
+                assert!(watcher.matches(&feed) && watcher.matches(&mirror), "seed {seed}");
             }
         }
     }
 
     #[test]
-    fn changes_are_merged_and_too_old_a_version_gets_the_whole_list() {
-        let mut board = Board::new(Position { epoch: 9, rev: 0 }, [], false, 4);
+    fn changes_are_merged_and_a_version_before_the_history_gets_the_full_list() {
+        let mut feed = ChangeFeed::new(Position { epoch: 9, rev: 0 }, [], false, 4);
         let target = |uid: &str, state: &str| -> Target {
             serde_json::from_str(&format!(r#"{{"uid":"{uid}","state":"{state}"}}"#)).unwrap()
         };
         for rev in 1..=3 {
-            board.publish(rev, target("a", "up"));
+            feed.publish(rev, target("a", "up"));
         }
-        board.publish(4, target("b", "removed"));
-        let mut at = Position { epoch: 9, rev: 1 };
-        let line: HostList = serde_json::from_slice(&board.next(&mut at).unwrap()).unwrap();
+        feed.publish(4, target("b", "removed"));
+        let mut position = Position { epoch: 9, rev: 1 };
+        let line: HostList = serde_json::from_slice(&feed.next_line(&mut position).unwrap()).unwrap();
         let uids: Vec<_> = line.targets.iter().map(|t| t.uid.as_str()).collect();
         assert_eq!((line.rev, line.all, uids), (4, false, vec!["a", "b"]));
-        assert_eq!((at.rev, board.next(&mut at)), (4, None));
-        board.publish(5, target("c", "up"));
-        let mut at = Position { epoch: 9, rev: 0 };
-        let line: HostList = serde_json::from_slice(&board.next(&mut at).unwrap()).unwrap();
+        assert_eq!((position.rev, feed.next_line(&mut position)), (4, None));
+        feed.publish(5, target("c", "up"));
+        let mut position = Position { epoch: 9, rev: 0 };
+        let line: HostList = serde_json::from_slice(&feed.next_line(&mut position).unwrap()).unwrap();
         assert!(line.all && line.targets.len() == 2);
-        // The same version of another list is not this one.
-        let mut at = Position { epoch: 8, rev: 5 };
-        let line: HostList = serde_json::from_slice(&board.next(&mut at).unwrap()).unwrap();
-        assert!(line.all && at == board.at());
+        // The same version of another epoch is a different one.
+        let mut position = Position { epoch: 8, rev: 5 };
+        let line: HostList = serde_json::from_slice(&feed.next_line(&mut position).unwrap()).unwrap();
+        assert!(line.all && position == feed.position());
     }
 }
--- a/crates/list-service/src/connection_table.rs
+++ b/crates/list-service/src/connection_table.rs
@@ -1,81 +1,85 @@
-//! Whose connections may stay where there are as many as there may be. No I/O.
+//! Limits the number of connections: when the limit is reached, a new connection replaces the one that has
+//! been idle longest. Performs no I/O.
 
 use std::collections::BTreeMap;
 
-/// One connection's state.
+/// State of one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Nothing whole has come since this turn.
-    Waits(u64),
-    /// A call of it is at work, or a watch.
-    Works,
+    /// No complete request has been received since this sequence number.
+    Idle(u64),
+    /// A request or a watch is being served.
+    Busy,
 }
 
-/// All connections, by number.
-pub struct Doors {
-    most: usize,
-    turn: u64,
-    all: BTreeMap<u64, State>,
+/// The open connections.
+pub struct ConnectionTable {
+    limit: usize,
+    /// Sequence number of the last event.
+    sequence: u64,
+    /// State of each connection, by its number.
+    connections: BTreeMap<u64, State>,
 }
 
-/// What becomes of a newcomer.
+/// Decision about a new connection.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Admitted {
-    /// It has this number.
-    As(u64),
-    /// It has the first number, and the second one's connection is to be closed for it.
-    InPlaceOf(u64, u64),
-    /// All others are at work.
-    No,
+pub enum Admission {
+    /// It is accepted under this number.
+    Accepted(u64),
+    /// It is accepted under the first number, and the connection with the second number has to be closed.
+    Replaced(u64, u64),
+    /// It is refused, as all other connections are busy.
+    Refused,
 }
 
-impl Doors {
-    /// For so many connections.
-    pub fn new(most: usize) -> Doors {
-        Doors { most, turn: 0, all: BTreeMap::new() }
+impl ConnectionTable {
+    /// A table for at most `limit` connections.
+    pub fn new(limit: usize) -> ConnectionTable {
+        ConnectionTable { limit, sequence: 0, connections: BTreeMap::new() }
     }
 
-    /// How many there are.
-    pub fn open(&self) -> usize {
-        self.all.len()
+    /// Number of open connections.
+    pub fn len(&self) -> usize {
+        self.connections.len()
     }
 
-    /// Whether lists may still be served: the last quarter is for those that write.
-    pub fn has_room_for_lists(&self) -> bool {
-        self.all.len() <= self.most - self.most / 4
+    /// Whether requests for the list are accepted; the last quarter of the connections is reserved for
+    /// servers that register, renew, drain or deregister.
+    pub fn accepts_list_requests(&self) -> bool {
+        self.connections.len() <= self.limit - self.limit / 4
     }
 
-    /// Somebody connects.
-    pub fn admit(&mut self) -> Admitted {
-        self.turn += 1;
-        let number = self.turn;
-        let mut longest = None;
-        if self.all.len() >= self.most {
-            let waits = self.all.iter().filter_map(|(number, state)| match state {
-                State::Waits(since) => Some((*since, *number)),
-                State::Works => None,
+    /// Decides about a new connection and adds it to the table if it is accepted.
+    pub fn admit(&mut self) -> Admission {
+        self.sequence += 1;
+        let number = self.sequence;
+        let mut evicted = None;
+        if self.connections.len() >= self.limit {
+            let idle = self.connections.iter().filter_map(|(number, state)| match state {
+                State::Idle(since) => Some((*since, *number)),
+                State::Busy => None,
             });
-            let Some((_, number)) = waits.min() else { return Admitted::No };
-            self.all.remove(&number);
-            longest = Some(number);
+            let Some((_, number)) = idle.min() else { return Admission::Refused };
+            self.connections.remove(&number);
+            evicted = Some(number);
         }
-        self.all.insert(number, State::Waits(number));
-        match longest {
-            Some(other) => Admitted::InPlaceOf(number, other),
-            None => Admitted::As(number),
+        self.connections.insert(number, State::Idle(number));
+        match evicted {
+            Some(other) => Admission::Replaced(number, other),
+            None => Admission::Accepted(number),
         }
     }
 
-    /// A call has come, or is done with.
-    pub fn works(&mut self, number: u64, works: bool) {
-        self.turn += 1;
-        let state = if works { State::Works } else { State::Waits(self.turn) };
-        self.all.entry(number).and_modify(|it| *it = state);
+    /// Marks a connection as busy when a request arrives, and as idle when the response has been written.
+    pub fn set_busy(&mut self, number: u64, is_busy: bool) {
+        self.sequence += 1;
+        let state = if is_busy { State::Busy } else { State::Idle(self.sequence) };
+        self.connections.entry(number).and_modify(|current| *current = state);
     }
 
-    /// It has ended.
-    pub fn leaves(&mut self, number: u64) {
-        self.all.remove(&number);
+    /// Removes a connection that has ended.
+    pub fn remove(&mut self, number: u64) {
+        self.connections.remove(&number);
     }
 }
 
@@ -84,24 +88,24 @@
     use super::*;
 
     #[test]
-    fn the_one_that_waits_the_longest_makes_room_and_none_at_work_does() {
-        let mut doors = Doors::new(4);
+    fn the_connection_idle_longest_is_replaced_and_a_busy_one_never_is() {
+        let mut table = ConnectionTable::new(4);
         for number in 1..=4 {
-            assert_eq!(doors.admit(), Admitted::As(number));
+            assert_eq!(table.admit(), Admission::Accepted(number));
         }
-        assert!(!doors.has_room_for_lists());
-        doors.works(1, true);
-        doors.works(2, true);
-        doors.works(2, false);
-        assert_eq!(doors.admit(), Admitted::InPlaceOf(7 + 1, 3));
-        assert_eq!(doors.open(), 4);
-        doors.works(2, true);
-        doors.works(4, true);
-        doors.works(8, true);
-        assert_eq!(doors.admit(), Admitted::No);
-        doors.leaves(8);
-        doors.works(3, true);
-        assert_eq!(doors.open(), 3, "one that was sent away does not come back");
-        assert!(doors.has_room_for_lists());
+        assert!(!table.accepts_list_requests());
+        table.set_busy(1, true);
+        table.set_busy(2, true);
+        table.set_busy(2, false);
+        assert_eq!(table.admit(), Admission::Replaced(7 + 1, 3));
+        assert_eq!(table.len(), 4);
+        table.set_busy(2, true);
+        table.set_busy(4, true);
+        table.set_busy(8, true);
+        assert_eq!(table.admit(), Admission::Refused);
+        table.remove(8);
+        table.set_busy(3, true);
+        assert_eq!(table.len(), 3, "a closed connection is not added again");
+        assert!(table.accepts_list_requests());
     }
 }
--- a/crates/list-service/src/http.rs
+++ b/crates/list-service/src/http.rs
@@ -1,9 +1,9 @@
-//! The service on sockets: calls in, answers and watches out.
+//! HTTP API of the service: connections, request routing, responses and watches.
 
-use crate::board::Position;
-use crate::doors::{Admitted, Doors};
-use crate::registry::Refusal;
-use crate::service::{count, Denied, Service};
+use crate::change_feed::Position;
+use crate::connection_table::{Admission, ConnectionTable};
+use crate::registry::RegistryError;
+use crate::service::{increment, Service, ServiceError};
 use bytes::Bytes;
 use granitelead_base::wire::Place;
 use granitelead_base::{note, ACCEPT_PAUSE};
@@ -32,63 +32,65 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout, Duration, Sleep};
 
-/// Time for a head, and between two.
-const HEAD_TIME: Duration = Duration::from_secs(5);
-/// Time for a body.
-const BODY_TIME: Duration = Duration::from_secs(5);
-/// The longest head: what the library's buffer holds.
+/// Timeout for a request head, also while the connection is idle between two requests.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout for a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum size of a request head, in bytes: the size of the HTTP library's buffer.
 const HEAD_MAX: usize = 16 * 1024;
-/// The longest body.
+/// Maximum size of a request body, in bytes.
 const BODY_MAX: usize = 4 * 1024;
-/// Time in which a peer has to take something of what it is sent.
-const TAKE_TIME: Duration = Duration::from_secs(5);
-/// What the system holds of what a peer has not taken, bytes; it may double this.
+/// Time in which a blocked write has to make progress.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Size of the socket's send buffer, in bytes; the kernel may double it.
 const SEND_BUFFER: usize = 64 * 1024;
-/// An empty line is due so often.
-const BEAT: Duration = Duration::from_secs(2);
-/// Whole lists being written at once.
-const LISTS_MAX: usize = 64;
-/// Newcomers being told that there is no room, and the time for that.
-const TURNED_AWAY_MAX: usize = 64;
-/// See `TURNED_AWAY_MAX`.
-const TURNED_AWAY_TIME: Duration = Duration::from_secs(1);
-/// What they are told.
-const NO_ROOM: &[u8] =
+/// Interval of heartbeats on an idle watch.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// Maximum number of full lists that are written at the same time.
+const CONCURRENT_LISTS_MAX: usize = 64;
+/// Maximum number of refused connections that are sent a response at the same time.
+const REJECTIONS_MAX: usize = 64;
+/// Time for sending that response.
+const REJECTION_TIMEOUT: Duration = Duration::from_secs(1);
+/// Response to a refused connection.
+const REJECTION_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-/// When to come back.
-const COME_BACK_S: &str = "1";
+/// Value of the `Retry-After` header, in seconds.
+const RETRY_AFTER_S: &str = "1";
 
-/// The listening side.
-pub struct Front {
+/// The HTTP server.
+pub struct HttpServer {
     service: Rc<Service>,
-    doors: RefCell<Doors>,
+    connections: RefCell<ConnectionTable>,
     tasks: RefCell<HashMap<u64, AbortHandle>>,
     watches_max: usize,
-    turned_away: Rc<Cell<usize>>,
-    odd: Cell<u64>,
+    rejections: Rc<Cell<usize>>,
+    /// Number of failures logged, see [`note`].
+    event_count: Cell<u64>,
 }
 
-impl Front {
-    /// For so many connections.
-    pub fn new(service: Rc<Service>, connections: usize) -> Rc<Front> {
-        let (doors, watches_max) = (RefCell::new(Doors::new(connections)), connections * 2 / 3);
-        Rc::new(Front {
+impl HttpServer {
+    /// A server for at most `connections_max` connections.
+    pub fn new(service: Rc<Service>, connections_max: usize) -> Rc<HttpServer> {
+        let (connections, watches_max) =
+            (RefCell::new(ConnectionTable::new(connections_max)), connections_max * 2 / 3);
+        Rc::new(HttpServer {
             service,
-            doors,
+            connections,
             tasks: RefCell::default(),
             watches_max,
-            turned_away: Rc::default(),
-            odd: Cell::new(0),
+            rejections: Rc::default(),
+            event_count: Cell::new(0),
         })
     }
 
-    /// Takes connections for ever.
+    /// Accepts connections forever.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => self.admit(stream),
                 Err(e) => {
-                    note(&self.odd, format_args!("no connection taken: {e}"));
+                    note(&self.event_count, format_args!("can't accept a connection: {e}"));
                     sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -96,67 +98,68 @@
     }
 
     fn admit(self: &Rc<Self>, stream: TcpStream) {
-        let number = match self.doors.borrow_mut().admit() {
-            Admitted::As(number) => number,
-            Admitted::InPlaceOf(number, other) => {
+        let number = match self.connections.borrow_mut().admit() {
+            Admission::Accepted(number) => number,
+            Admission::Replaced(number, other) => {
                 if let Some(task) = self.tasks.borrow_mut().remove(&other) {
                     task.abort();
                 }
                 number
             }
-            Admitted::No => return self.turn_away(stream),
+            Admission::Refused => return self.reject(stream),
         };
         let _ = stream.set_nodelay(true);
-        // What a watcher doesn't take waits in the system, too; refused, the system's own bound holds.
+        // Bounds the data that the kernel buffers for a slow watcher; if this fails, the kernel's default
+        // applies.
         let _ = set_socket_send_buffer_size(&stream, SEND_BUFFER);
-        let front = self.clone();
+        let server = self.clone();
         let task = tokio::task::spawn_local(async move {
-            let _leaves = Leaves(front.clone(), number);
+            let _guard = ConnectionGuard(server.clone(), number);
             let calls = service_fn(|request| {
-                let front = front.clone();
-                async move { Ok::<_, Infallible>(front.answer(number, request).await) }
+                let server = server.clone();
+                async move { Ok::<_, Infallible>(server.answer(number, request).await) }
             });
-            // How a peer ends is its own affair.
+            // Errors of a connection only concern its peer and are not logged.
             let _ = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(HEAD_TIME)
+                .header_read_timeout(HEAD_TIMEOUT)
                 .max_buf_size(HEAD_MAX)
-                .serve_connection(TokioIo::new(Taking::new(stream)), calls)
+                .serve_connection(TokioIo::new(WriteTimeoutStream::new(stream)), calls)
                 .await;
         });
         self.tasks.borrow_mut().insert(number, task.abort_handle());
     }
 
-    /// All others are at work: says so at once, without reading what is asked.
-    fn turn_away(&self, mut stream: TcpStream) {
-        note(&self.odd, "no room for a connection");
-        let Some(place) = Place::take(&self.turned_away, TURNED_AWAY_MAX) else { return };
+    /// Refuses a connection because all others are busy: responds at once, without reading the request.
+    fn reject(&self, mut stream: TcpStream) {
+        note(&self.event_count, "refused a connection: all connections are busy");
+        let Some(slot) = Place::take(&self.rejections, REJECTIONS_MAX) else { return };
         tokio::task::spawn_local(async move {
-            let said = async {
-                stream.write_all(NO_ROOM).await?;
+            let response = async {
+                stream.write_all(REJECTION_RESPONSE).await?;
                 stream.shutdown().await?;
-                // Closed with something unread, the connection would be reset, and the answer lost.
+                // Closing the connection with unread input would reset it, and the response could be lost.
                 let mut sink = [0; 1024];
                 while stream.read(&mut sink).await? > 0 {}
                 Ok::<_, io::Error>(())
             };
-            let _ = timeout(TURNED_AWAY_TIME, said).await;
-            drop(place);
+            let _ = timeout(REJECTION_TIMEOUT, response).await;
+            drop(slot);
         });
     }
 
-    async fn answer(self: &Rc<Self>, number: u64, request: Request<Incoming>) -> Response<Out> {
-        self.doors.borrow_mut().works(number, true);
-        let works = Works(self.clone(), number);
-        let mut answer = match self.route(request).await {
-            Ok(answer) => answer,
-            Err(wrong) => wrong.answer(),
+    async fn answer(self: &Rc<Self>, number: u64, request: Request<Incoming>) -> Response<ResponseBody> {
+        self.connections.borrow_mut().set_busy(number, true);
+        let busy_guard = BusyGuard(self.clone(), number);
+        let mut response = match self.route(request).await {
+            Ok(response) => response,
+            Err(error) => error.response(),
         };
-        answer.body_mut().works = Some(works);
-        answer
+        response.body_mut().busy_guard = Some(busy_guard);
+        response
     }
 
-    async fn route(&self, request: Request<Incoming>) -> Result<Response<Out>, Wrong> {
+    async fn route(&self, request: Request<Incoming>) -> Result<Response<ResponseBody>, ApiError> {
         let service = &self.service;
         let path = request.uri().path();
         let allowed = match path {
@@ -164,256 +167,281 @@
             "/discovery/register" | "/discovery/renew" | "/discovery/drain" | "/discovery/deregister" => {
                 Method::POST
             }
-            _ => return Err(Wrong::NoSuchCall),
+            _ => return Err(ApiError::UnknownPath),
         };
         if request.method() != allowed {
-            return Err(Wrong::Method(allowed));
+            return Err(ApiError::MethodNotAllowed(allowed));
         }
         match path {
             HOSTS => self.hosts(request.uri().query().unwrap_or_default()),
             REVISION => {
-                service.tells()?;
-                Ok(json(StatusCode::OK, &service.revision()))
+                service.check_serving()?;
+                Ok(json_response(StatusCode::OK, &service.revision()))
             }
             "/discovery/figures" => {
-                let text = service.figures(self.doors.borrow().open());
-                Ok(plain(StatusCode::OK, "text/plain", text.into()))
+                let text = service.figures(self.connections.borrow().len());
+                Ok(text_response(StatusCode::OK, "text/plain", text.into()))
             }
-            "/discovery/register" => Ok(json(StatusCode::OK, &service.register(read(request).await?).await?)),
-            "/discovery/renew" => Ok(json(StatusCode::OK, &service.renew(&read(request).await?)?)),
-            "/discovery/drain" => Ok(json(StatusCode::OK, &service.drain(&read(request).await?).await?)),
-            _ => Ok(json(StatusCode::OK, &service.deregister(&read(request).await?).await?)),
+            "/discovery/register" => {
+                Ok(json_response(StatusCode::OK, &service.register(read_json(request).await?).await?))
+            }
+            "/discovery/renew" => {
+                Ok(json_response(StatusCode::OK, &service.renew(&read_json(request).await?)?))
+            }
+            "/discovery/drain" => {
+                Ok(json_response(StatusCode::OK, &service.drain(&read_json(request).await?).await?))
+            }
+            _ => Ok(json_response(StatusCode::OK, &service.deregister(&read_json(request).await?).await?)),
         }
     }
 
-    fn hosts(&self, query: &str) -> Result<Response<Out>, Wrong> {
-        let asked = Asked::read(query)?;
+    fn hosts(&self, query: &str) -> Result<Response<ResponseBody>, ApiError> {
+        let query = ListQuery::parse(query)?;
         let service = &self.service;
-        count(&service.counts.list_calls);
-        service.tells()?;
-        let room = self.doors.borrow().has_room_for_lists();
-        let take = |taken: &Rc<Cell<usize>>, most| {
-            let place = Place::take(taken, most).filter(|_| room);
-            place.ok_or_else(|| {
-                count(&service.counts.refused);
-                Wrong::Overloaded
+        increment(&service.counts.list_calls);
+        service.check_serving()?;
+        let accepts_lists = self.connections.borrow().accepts_list_requests();
+        let take_slot = |in_use: &Rc<Cell<usize>>, limit| {
+            let slot = Place::take(in_use, limit).filter(|_| accepts_lists);
+            slot.ok_or_else(|| {
+                increment(&service.counts.lists_refused);
+                ApiError::Overloaded
             })
         };
-        let at = service.at();
-        if !asked.stream {
-            let place = take(&service.counts.lists, LISTS_MAX)?;
-            let mut answer = plain(StatusCode::OK, "application/json", service.whole());
-            answer.body_mut().place = Some(place);
-            return Ok(answer);
+        let current = service.position();
+        if !query.stream {
+            let slot = take_slot(&service.counts.lists, CONCURRENT_LISTS_MAX)?;
+            let mut response = text_response(StatusCode::OK, "application/json", service.full_list());
+            response.body_mut().slot = Some(slot);
+            return Ok(response);
         }
-        let epoch = asked.epoch.unwrap_or(at.epoch);
-        if !service.knows(Position { epoch, rev: asked.index }) {
-            if asked.epoch.is_some() {
-                service.was_told(Position { epoch, rev: asked.index });
+        let epoch = query.epoch.unwrap_or(current.epoch);
+        if !service.can_continue_from(Position { epoch, rev: query.index }) {
+            if query.epoch.is_some() {
+                service.on_unknown_version(Position { epoch, rev: query.index });
             }
-            return Err(Wrong::IndexAhead);
+            return Err(ApiError::VersionAhead);
         }
-        let place = take(&service.counts.watches, self.watches_max)?;
-        // Nothing is known to whoever asks from 0 on, though nothing may have changed since.
-        let told = Position { epoch: if asked.index == 0 { 0 } else { epoch }, rev: asked.index };
-        let watch = Watch { service: service.clone(), told, changes: service.changes(), begun: false };
-        let body = Out { place: Some(place), ..Out::new(Content::Watch(Box::pin(watch.line()))) };
+        let slot = take_slot(&service.counts.watches, self.watches_max)?;
+        // A watcher that starts from version 0 has no list yet and gets the full one, even if there are no
+        // changes.
+        let position = Position { epoch: if query.index == 0 { 0 } else { epoch }, rev: query.index };
+        let watch =
+            Watch { service: service.clone(), position, changes: service.changes(), is_started: false };
+        let body = ResponseBody {
+            slot: Some(slot),
+            ..ResponseBody::new(BodyContent::Watch(Box::pin(watch.next_line())))
+        };
         Ok(with_type(Response::new(body), "application/json"))
     }
 }
 
-/// Tells the doors when a connection has ended.
-struct Leaves(Rc<Front>, u64);
+/// Removes a connection from the table when dropped.
+struct ConnectionGuard(Rc<HttpServer>, u64);
 
-impl Drop for Leaves {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.0.doors.borrow_mut().leaves(self.1);
+        self.0.connections.borrow_mut().remove(self.1);
         self.0.tasks.borrow_mut().remove(&self.1);
     }
 }
 
-/// Tells the doors when an answer has been written.
-struct Works(Rc<Front>, u64);
+/// Marks a connection as idle when dropped, which is when its response has been written.
+struct BusyGuard(Rc<HttpServer>, u64);
 
-impl Drop for Works {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
-        self.0.doors.borrow_mut().works(self.1, false);
+        self.0.connections.borrow_mut().set_busy(self.1, false);
     }
 }
 
-/// What a call for the list asks for.
+/// Query parameters of a request for the list.
 #[derive(Debug, PartialEq, Eq)]
-struct Asked {
+struct ListQuery {
     stream: bool,
     index: u64,
     epoch: Option<u64>,
 }
 
-impl Asked {
-    /// Parameters that nobody knows are passed over.
-    fn read(query: &str) -> Result<Asked, Wrong> {
-        let mut asked = Asked { stream: false, index: 0, epoch: None };
+impl ListQuery {
+    /// Parses the query; unknown parameters are ignored.
+    fn parse(query: &str) -> Result<ListQuery, ApiError> {
+        let mut parsed = ListQuery { stream: false, index: 0, epoch: None };
         for part in query.split('&') {
             let (name, value) = part.split_once('=').unwrap_or((part, ""));
-            let number = |wrong| value.parse::<u64>().map_err(|_| Wrong::Query(wrong));
+            let number = |name| value.parse::<u64>().map_err(|_| ApiError::InvalidQuery(name));
             match name {
-                "stream" if value == "1" => asked.stream = true,
-                "stream" => return Err(Wrong::Query("stream")),
-                "index" => asked.index = number("index")?,
-                "epoch" => asked.epoch = Some(number("epoch")?),
+                "stream" if value == "1" => parsed.stream = true,
+                "stream" => return Err(ApiError::InvalidQuery("stream")),
+                "index" => parsed.index = number("index")?,
+                "epoch" => parsed.epoch = Some(number("epoch")?),
                 _ => {}
             }
         }
-        Ok(asked)
+        Ok(parsed)
     }
 }
 
-/// Why a call fails.
+/// Why a request fails.
 #[derive(Debug, PartialEq, Eq)]
-enum Wrong {
-    NoSuchCall,
-    Method(Method),
-    Query(&'static str),
-    IndexAhead,
+enum ApiError {
+    UnknownPath,
+    /// The method that the path allows.
+    MethodNotAllowed(Method),
+    /// The parameter with an invalid value.
+    InvalidQuery(&'static str),
+    VersionAhead,
     Overloaded,
-    TooLong,
-    TooSlow,
-    Json(String),
-    Denied(Denied),
+    BodyTooLong,
+    BodyTimeout,
+    InvalidJson(String),
+    Service(ServiceError),
 }
 
-impl From<Denied> for Wrong {
-    fn from(denied: Denied) -> Wrong {
-        Wrong::Denied(denied)
+impl From<ServiceError> for ApiError {
+    fn from(error: ServiceError) -> ApiError {
+        ApiError::Service(error)
     }
 }
 
-impl Wrong {
-    fn answer(&self) -> Response<Out> {
+impl ApiError {
+    fn response(&self) -> Response<ResponseBody> {
         let (status, error, what) = match self {
-            Wrong::NoSuchCall => (StatusCode::NOT_FOUND, "no_such_call", "no such path".to_owned()),
-            Wrong::Method(_) => (StatusCode::METHOD_NOT_ALLOWED, "method", "not with this method".to_owned()),
-            Wrong::Query(field) => {
-                (StatusCode::BAD_REQUEST, "bad_query", format!("`{field}` has no proper value"))
+            ApiError::UnknownPath => (StatusCode::NOT_FOUND, "no_such_call", "unknown path".to_owned()),
+            ApiError::MethodNotAllowed(_) => {
+                (StatusCode::METHOD_NOT_ALLOWED, "method", "method not allowed".to_owned())
             }
-            Wrong::IndexAhead => {
-                (StatusCode::CONFLICT, "index_ahead", "this list is not at that version".to_owned())
+            ApiError::InvalidQuery(field) => {
+                (StatusCode::BAD_REQUEST, "bad_query", format!("invalid value of `{field}`"))
             }
-            Wrong::Overloaded => {
-                (StatusCode::SERVICE_UNAVAILABLE, OVERLOADED, "as many are served as can be".to_owned())
+            ApiError::VersionAhead => {
+                (StatusCode::CONFLICT, "index_ahead", "the list has not reached this version".to_owned())
             }
-            Wrong::TooLong => {
-                (StatusCode::PAYLOAD_TOO_LARGE, "too_long", format!("more than {BODY_MAX} bytes"))
+            ApiError::Overloaded => {
+                (StatusCode::SERVICE_UNAVAILABLE, OVERLOADED, "too many concurrent requests".to_owned())
             }
-            Wrong::TooSlow => (StatusCode::REQUEST_TIMEOUT, "too_slow", "the body did not come".to_owned()),
-            Wrong::Json(what) => (StatusCode::BAD_REQUEST, "bad_json", what.clone()),
-            Wrong::Denied(Denied::By(refusal)) => {
-                let (status, error) = match refusal {
-                    Refusal::Bad(_) => (StatusCode::BAD_REQUEST, "bad_field"),
-                    Refusal::UnknownLease => (StatusCode::NOT_FOUND, "unknown_lease"),
-                    Refusal::Superseded => (StatusCode::CONFLICT, "superseded"),
-                    Refusal::Full => (StatusCode::SERVICE_UNAVAILABLE, "full"),
-                };
-                (status, error, refusal.to_string())
+            ApiError::BodyTooLong => (
+                StatusCode::PAYLOAD_TOO_LARGE,
+                "too_long",
+                format!("the body is longer than {BODY_MAX} bytes"),
+            ),
+            ApiError::BodyTimeout => {
+                (StatusCode::REQUEST_TIMEOUT, "too_slow", "timeout while reading the body".to_owned())
             }
-            Wrong::Denied(Denied::ReadOnly) => {
-                (StatusCode::FORBIDDEN, "read_only", "this is a mirror".to_owned())
+            ApiError::InvalidJson(error) => (StatusCode::BAD_REQUEST, "bad_json", error.clone()),
+            ApiError::Service(ServiceError::Registry(reason)) => {
+                let (status, error) = match reason {
+                    RegistryError::InvalidField(_) => (StatusCode::BAD_REQUEST, "bad_field"),
+                    RegistryError::UnknownLease => (StatusCode::NOT_FOUND, "unknown_lease"),
+                    RegistryError::Superseded => (StatusCode::CONFLICT, "superseded"),
+                    RegistryError::TooManyLeases => (StatusCode::SERVICE_UNAVAILABLE, "full"),
+                };
+                (status, error, reason.to_string())
             }
-            Wrong::Denied(Denied::Disk) => {
-                (StatusCode::SERVICE_UNAVAILABLE, "disk", "the disk takes nothing now".to_owned())
+            ApiError::Service(ServiceError::ReadOnly) => {
+                (StatusCode::FORBIDDEN, "read_only", "a mirror accepts no changes".to_owned())
             }
-            Wrong::Denied(Denied::Settling) => {
-                (StatusCode::SERVICE_UNAVAILABLE, "settling", "servers are registering anew".to_owned())
+            ApiError::Service(ServiceError::DiskUnavailable) => {
+                (StatusCode::SERVICE_UNAVAILABLE, "disk", "the change can't be written to disk".to_owned())
             }
-            Wrong::Denied(Denied::NoList) => {
-                (StatusCode::SERVICE_UNAVAILABLE, "no_list", "nothing heard yet".to_owned())
+            ApiError::Service(ServiceError::Settling) => (
+                StatusCode::SERVICE_UNAVAILABLE,
+                "settling",
+                "waiting for servers to register again".to_owned(),
+            ),
+            ApiError::Service(ServiceError::NoList) => {
+                (StatusCode::SERVICE_UNAVAILABLE, "no_list", "no list received yet".to_owned())
             }
         };
-        let mut answer = json(status, &Refused { error: error.to_owned(), what });
+        let mut response = json_response(status, &Refused { error: error.to_owned(), what });
         if status == StatusCode::SERVICE_UNAVAILABLE {
-            answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(COME_BACK_S));
+            response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
         }
-        if let Wrong::Method(allowed) = self {
+        if let ApiError::MethodNotAllowed(allowed) = self {
             if let Ok(value) = HeaderValue::from_str(allowed.as_str()) {
-                answer.headers_mut().insert(ALLOW, value);
+                response.headers_mut().insert(ALLOW, value);
             }
         }
-        answer
+        response
     }
 }
 
-async fn read<T: DeserializeOwned>(request: Request<Incoming>) -> Result<T, Wrong> {
+async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> Result<T, ApiError> {
     let body = Limited::new(request.into_body(), BODY_MAX).collect();
-    let body = timeout(BODY_TIME, body).await.map_err(|_| Wrong::TooSlow)?.map_err(|_| Wrong::TooLong)?;
-    serde_json::from_slice(&body.to_bytes()).map_err(|e| Wrong::Json(e.to_string()))
+    let body = timeout(BODY_TIMEOUT, body)
+        .await
+        .map_err(|_| ApiError::BodyTimeout)?
+        .map_err(|_| ApiError::BodyTooLong)?;
+    serde_json::from_slice(&body.to_bytes()).map_err(|e| ApiError::InvalidJson(e.to_string()))
 }
 
-fn json(status: StatusCode, what: &impl Serialize) -> Response<Out> {
-    // Such values always have a form.
-    let mut text = serde_json::to_vec(what).unwrap_or_default();
+fn json_response(status: StatusCode, value: &impl Serialize) -> Response<ResponseBody> {
+    // Serializing the types used here can't fail.
+    let mut text = serde_json::to_vec(value).unwrap_or_default();
     text.push(b'\n');
-    plain(status, "application/json", text.into())
+    text_response(status, "application/json", text.into())
 }
 
-fn plain(status: StatusCode, kind: &'static str, text: Bytes) -> Response<Out> {
-    let mut answer = Response::new(Out::new(Content::Once(Some(text))));
-    *answer.status_mut() = status;
-    with_type(answer, kind)
+fn text_response(status: StatusCode, content_type: &'static str, text: Bytes) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::new(BodyContent::Once(Some(text))));
+    *response.status_mut() = status;
+    with_type(response, content_type)
 }
 
-fn with_type(mut answer: Response<Out>, kind: &'static str) -> Response<Out> {
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
-    answer
+fn with_type(mut response: Response<ResponseBody>, content_type: &'static str) -> Response<ResponseBody> {
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
+    response
 }
 
-/// A watcher: no queue, only how far it has been told.
+/// State of one watch: it has no queue, only the position up to which the watcher has received the list.
 struct Watch {
     service: Rc<Service>,
-    told: Position,
+    position: Position,
     changes: watch::Receiver<Position>,
-    begun: bool,
+    /// Whether a first line has been sent.
+    is_started: bool,
 }
 
 impl Watch {
-    /// The next line, when there is one.
-    async fn line(mut self) -> (Bytes, Watch) {
+    /// Waits for the next line: the changes since the last one, or a heartbeat.
+    async fn next_line(mut self) -> (Bytes, Watch) {
         loop {
             self.changes.mark_unchanged();
-            if let Some(line) = self.service.next(&mut self.told) {
-                self.begun = true;
+            if let Some(line) = self.service.next_line(&mut self.position) {
+                self.is_started = true;
                 return (line, self);
             }
-            if !std::mem::replace(&mut self.begun, true) {
-                return (self.service.beat(), self);
+            if !std::mem::replace(&mut self.is_started, true) {
+                return (self.service.heartbeat(), self);
             }
-            if !matches!(timeout(BEAT, self.changes.changed()).await, Ok(Ok(()))) {
-                return (self.service.beat(), self);
+            if !matches!(timeout(HEARTBEAT_INTERVAL, self.changes.changed()).await, Ok(Ok(()))) {
+                return (self.service.heartbeat(), self);
             }
         }
     }
 }
 
-type Line = Pin<Box<dyn Future<Output = (Bytes, Watch)>>>;
+type NextLine = Pin<Box<dyn Future<Output = (Bytes, Watch)>>>;
 
-enum Content {
+enum BodyContent {
     Once(Option<Bytes>),
-    Watch(Line),
+    Watch(NextLine),
 }
 
-/// The body of an answer, with the places that it holds while it is written.
-struct Out {
-    content: Content,
-    place: Option<Place>,
-    works: Option<Works>,
+/// Body of a response, with the guards that are released when it has been written.
+struct ResponseBody {
+    content: BodyContent,
+    slot: Option<Place>,
+    busy_guard: Option<BusyGuard>,
 }
 
-impl Out {
-    fn new(content: Content) -> Out {
-        Out { content, place: None, works: None }
+impl ResponseBody {
+    fn new(content: BodyContent) -> ResponseBody {
+        ResponseBody { content, slot: None, busy_guard: None }
     }
 }
 
-impl Body for Out {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -422,10 +450,10 @@
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
         match &mut self.content {
-            Content::Once(text) => Poll::Ready(text.take().map(|text| Ok(Frame::data(text)))),
-            Content::Watch(line) => {
-                let (text, watch) = ready!(line.as_mut().poll(cx));
-                *line = Box::pin(watch.line());
+            BodyContent::Once(text) => Poll::Ready(text.take().map(|text| Ok(Frame::data(text)))),
+            BodyContent::Watch(next_line) => {
+                let (text, watch) = ready!(next_line.as_mut().poll(cx));
+                *next_line = Box::pin(watch.next_line());
                 Poll::Ready(Some(Ok(Frame::data(text))))
             }
         }
@@ -433,50 +461,50 @@
 
     fn size_hint(&self) -> hyper::body::SizeHint {
         match &self.content {
-            Content::Once(text) => {
+            BodyContent::Once(text) => {
                 hyper::body::SizeHint::with_exact(text.as_ref().map_or(0, |text| text.len() as u64))
             }
-            Content::Watch(_) => hyper::body::SizeHint::new(),
+            BodyContent::Watch(_) => hyper::body::SizeHint::new(),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self.content, Content::Once(None))
+        matches!(self.content, BodyContent::Once(None))
     }
 }
 
-/// A connection whose peer has to take something of what it is sent now and then.
-struct Taking {
+/// A connection that fails if a write makes no progress within `WRITE_TIMEOUT`.
+struct WriteTimeoutStream {
     stream: TcpStream,
-    stalls: Option<Pin<Box<Sleep>>>,
+    write_deadline: Option<Pin<Box<Sleep>>>,
 }
 
-impl Taking {
-    fn new(stream: TcpStream) -> Taking {
-        Taking { stream, stalls: None }
+impl WriteTimeoutStream {
+    fn new(stream: TcpStream) -> WriteTimeoutStream {
+        WriteTimeoutStream { stream, write_deadline: None }
     }
 
-    fn watch<T>(&mut self, cx: &mut Context, polled: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    fn check_timeout<T>(&mut self, cx: &mut Context, polled: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
         if polled.is_ready() {
-            self.stalls = None;
+            self.write_deadline = None;
             return polled;
         }
-        let stalls = self.stalls.get_or_insert_with(|| Box::pin(sleep(TAKE_TIME)));
-        ready!(stalls.as_mut().poll(cx));
+        let write_deadline = self.write_deadline.get_or_insert_with(|| Box::pin(sleep(WRITE_TIMEOUT)));
+        ready!(write_deadline.as_mut().poll(cx));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 }
 
-impl AsyncRead for Taking {
+impl AsyncRead for WriteTimeoutStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for Taking {
+impl AsyncWrite for WriteTimeoutStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.watch(cx, polled)
+        self.check_timeout(cx, polled)
     }
 
     fn poll_write_vectored(
@@ -485,7 +513,7 @@
         bufs: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.watch(cx, polled)
+        self.check_timeout(cx, polled)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -506,19 +534,19 @@
     use super::*;
 
     #[test]
-    fn what_is_asked_is_read_or_refused() {
-        let asked = |stream, index, epoch| Ok(Asked { stream, index, epoch });
-        for (query, what) in [
-            ("", asked(false, 0, None)),
-            ("stream=1&index=41", asked(true, 41, None)),
-            ("index=41&epoch=7&stream=1&later=x", asked(true, 41, Some(7))),
-            ("stream=1&index=-1", Err(Wrong::Query("index"))),
-            ("stream=1&index=", Err(Wrong::Query("index"))),
-            ("stream=1&index=99999999999999999999", Err(Wrong::Query("index"))),
-            ("stream=1&epoch=x", Err(Wrong::Query("epoch"))),
-            ("stream=yes", Err(Wrong::Query("stream"))),
+    fn queries_are_parsed_or_rejected() {
+        let parsed = |stream, index, epoch| Ok(ListQuery { stream, index, epoch });
+        for (query, expected) in [
+            ("", parsed(false, 0, None)),
+            ("stream=1&index=41", parsed(true, 41, None)),
+            ("index=41&epoch=7&stream=1&later=x", parsed(true, 41, Some(7))),
+            ("stream=1&index=-1", Err(ApiError::InvalidQuery("index"))),
+            ("stream=1&index=", Err(ApiError::InvalidQuery("index"))),
+            ("stream=1&index=99999999999999999999", Err(ApiError::InvalidQuery("index"))),
+            ("stream=1&epoch=x", Err(ApiError::InvalidQuery("epoch"))),
+            ("stream=yes", Err(ApiError::InvalidQuery("stream"))),
         ] {
-            assert_eq!(Asked::read(query), what, "{query}");
+            assert_eq!(ListQuery::parse(query), expected, "{query}");
         }
     }
 }
--- a/crates/list-service/src/service.rs
+++ b/crates/list-service/src/service.rs
@@ -1,8 +1,8 @@
-//! The service's heart: calls change the registry, changes go to the disk, and what is there goes to the
-//! board.
+//! The list service without its HTTP API: requests change the registry, changes are written to disk, and
+//! those on disk are published in the change feed.
 
-use crate::board::{Board, Position, RING};
-use crate::registry::{Noted, Record, Refusal, Registry};
+use crate::change_feed::{ChangeFeed, Position, HISTORY_MAX};
+use crate::registry::{Event, Record, Registry, RegistryError};
 use crate::store::Store;
 use bytes::Bytes;
 use granitelead_base::note;
@@ -18,430 +18,442 @@
 use tokio::task::JoinError;
 use tokio::time::{timeout, Duration, Instant};
 
-/// Changes that wait for the disk, at most.
-const PENDING_MAX: usize = 1_024;
-/// How long a caller waits for the disk.
-const DISK_TIME: Duration = Duration::from_secs(5);
-/// Pause after the disk has failed.
-const DISK_PAUSE: Duration = Duration::from_secs(1);
-/// How often leases are looked at.
-const LOOK: Duration = Duration::from_millis(100);
-/// A mirror that has heard nothing for so long says so.
-const STALE: Duration = Duration::from_secs(5);
-
-/// Why a call is refused.
+/// Maximum number of changes that wait to be written to disk.
+const PENDING_CHANGES_MAX: usize = 1_024;
+/// Time that a request waits for its change to be written to disk.
+const DISK_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause before a failed write is repeated.
+const DISK_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval of the checks for expired leases.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// A mirror that has had no contact with the origin of the list for this long reports its list as stale.
+const STALE_AFTER: Duration = Duration::from_secs(5);
+
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
-    /// By what the registry knows.
-    By(Refusal),
-    /// This process only mirrors another.
+pub enum ServiceError {
+    /// The registry refused it.
+    Registry(RegistryError),
+    /// This process is a mirror and accepts no changes.
     ReadOnly,
-    /// The disk takes nothing, or not in time.
-    Disk,
-    /// Servers are still registering anew.
+    /// The change could not be written to disk, or not in time.
+    DiskUnavailable,
+    /// The list is not served yet, as servers are still registering again.
     Settling,
-    /// A mirror that has no list yet.
+    /// This mirror has not received a list yet.
     NoList,
 }
 
-impl From<Refusal> for Denied {
-    fn from(refusal: Refusal) -> Denied {
-        Denied::By(refusal)
+impl From<RegistryError> for ServiceError {
+    fn from(error: RegistryError) -> ServiceError {
+        ServiceError::Registry(error)
     }
 }
 
-/// What has been done since the start.
+/// Counters since the start, and numbers of concurrent requests.
 #[derive(Default)]
 pub struct Counts {
-    /// Calls that asked to be listed.
+    /// Registration requests.
     pub registrations: Cell<u64>,
-    /// Calls that renewed a lease.
+    /// Renewal requests.
     pub renewals: Cell<u64>,
-    /// Calls for lists and watches.
+    /// Requests for lists and watches.
     pub list_calls: Cell<u64>,
-    /// Lists and watches that were refused for want of room.
-    pub refused: Cell<u64>,
-    /// Watches open now.
+    /// Lists and watches refused because a limit was reached.
+    pub lists_refused: Cell<u64>,
+    /// Watches that are open now.
     pub watches: Rc<Cell<usize>>,
-    /// Whole lists being written now.
+    /// Full lists that are being written now.
     pub lists: Rc<Cell<usize>>,
 }
 
-/// Adds one to a count.
-pub fn count(n: &Cell<u64>) {
+/// Increments a counter.
+pub fn increment(n: &Cell<u64>) {
     n.set(n.get() + 1);
 }
 
-/// Where the list comes from.
+/// Origin of the list.
 enum Source {
-    /// The servers themselves.
+    /// Servers register with this process.
     Leases(RefCell<Registry>),
-    /// Another such service.
+    /// Another list service is mirrored.
     Mirrored(Rc<Listing>),
 }
 
-/// Whether the folder has turned out to be an older copy.
+/// Whether the data directory has turned out to be an older copy.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Older {
-    /// Nobody knows better.
-    No,
-    /// Somebody was told a later version, which was this one.
-    Shown(u64),
-    /// A new line of versions has begun because of that.
-    Left,
+enum DataState {
+    /// There is no sign of that.
+    Current,
+    /// A watcher has received this later version.
+    Outdated(u64),
+    /// A new epoch has been started because of that.
+    Replaced,
 }
 
-/// All of it but the sockets.
+/// State of the list service.
 pub struct Service {
     source: Source,
-    board: RefCell<Board>,
-    /// Changes that the disk does not have yet.
+    feed: RefCell<ChangeFeed>,
+    /// Changes that are not on disk yet.
     pending: RefCell<Vec<Record>>,
-    wakes: Notify,
-    failing: Cell<bool>,
-    told: watch::Sender<Position>,
-    begun: Instant,
-    /// Lists are told from so long after that on.
-    settles: Cell<Duration>,
-    /// How long servers get to register anew where the list was lost.
-    settle: Duration,
-    older: Cell<Older>,
-    /// Versions between these were never told by this process: the one that it began with, and its first own one.
-    unknown: (u64, u64),
-    /// What has been done.
+    work_available: Notify,
+    is_disk_failing: Cell<bool>,
+    /// The newest published version.
+    published: watch::Sender<Position>,
+    started: Instant,
+    /// Time after `started` from which on the list is served.
+    serving_after: Cell<Duration>,
+    /// Time that servers have to register again after the list was lost.
+    settle_time: Duration,
+    data_state: Cell<DataState>,
+    /// The last saved version at the start and the first version that this process can publish; versions
+    /// between them were never published by this process.
+    unused_versions: (u64, u64),
+    /// Counters for the figures.
     pub counts: Counts,
-    odd: Cell<u64>,
+    /// Number of failures logged, see [`note`].
+    event_count: Cell<u64>,
 }
 
 impl Service {
-    /// The one that servers register in, which begins with a version and makes its own from `first` on. Lists are told
-    /// once it has settled, at once where they were not `lost`.
+    /// The service that servers register with. It starts with the list `leases` at `position`, and its first
+    /// own version is `first_rev` or later. If the list was lost, it is served after `settle_time`, else at
+    /// once.
     pub fn writer(
         registry: Registry,
-        (at, first): (Position, u64),
-        list: &[Record],
-        settle: Duration,
-        lost: bool,
+        (position, first_rev): (Position, u64),
+        leases: &[Record],
+        settle_time: Duration,
+        was_list_lost: bool,
     ) -> Rc<Service> {
-        let board = Board::new(at, list.iter().map(|record| record.target.clone()), false, RING);
-        let it = Service::new(Source::Leases(RefCell::new(registry)), board, settle, (at.rev, first));
-        it.settles.set(if lost { settle } else { Duration::ZERO });
-        it
+        let listed = leases.iter().map(|record| record.target.clone());
+        let feed = ChangeFeed::new(position, listed, false, HISTORY_MAX);
+        let source = Source::Leases(RefCell::new(registry));
+        let service = Service::new(source, feed, settle_time, (position.rev, first_rev));
+        service.serving_after.set(if was_list_lost { settle_time } else { Duration::ZERO });
+        service
     }
 
-    /// One that tells what another tells.
+    /// A mirror of another list service, whose status is in `listing`.
     pub fn mirror(listing: Rc<Listing>) -> Rc<Service> {
-        let board = Board::new(Position { epoch: 0, rev: 0 }, [], true, RING);
-        Service::new(Source::Mirrored(listing), board, Duration::ZERO, (0, 0))
+        let feed = ChangeFeed::new(Position { epoch: 0, rev: 0 }, [], true, HISTORY_MAX);
+        Service::new(Source::Mirrored(listing), feed, Duration::ZERO, (0, 0))
     }
 
-    fn new(source: Source, board: Board, settle: Duration, unknown: (u64, u64)) -> Rc<Service> {
-        let told = watch::Sender::new(board.at());
+    fn new(
+        source: Source,
+        feed: ChangeFeed,
+        settle_time: Duration,
+        unused_versions: (u64, u64),
+    ) -> Rc<Service> {
+        let published = watch::Sender::new(feed.position());
         Rc::new(Service {
             source,
-            board: RefCell::new(board),
+            feed: RefCell::new(feed),
             pending: RefCell::default(),
-            wakes: Notify::new(),
-            failing: Cell::default(),
-            told,
-            begun: Instant::now(),
-            settles: Cell::new(Duration::ZERO),
-            settle,
-            older: Cell::new(Older::No),
-            unknown,
+            work_available: Notify::new(),
+            is_disk_failing: Cell::default(),
+            published,
+            started: Instant::now(),
+            serving_after: Cell::new(Duration::ZERO),
+            settle_time,
+            data_state: Cell::new(DataState::Current),
+            unused_versions,
             counts: Counts::default(),
-            odd: Cell::new(0),
+            event_count: Cell::new(0),
         })
     }
 
     fn now(&self) -> u64 {
-        self.begun.elapsed().as_millis() as u64
+        self.started.elapsed().as_millis() as u64
     }
 
-    fn registry(&self) -> Result<&RefCell<Registry>, Denied> {
+    fn registry(&self) -> Result<&RefCell<Registry>, ServiceError> {
         match &self.source {
             Source::Leases(registry) => Ok(registry),
-            Source::Mirrored(_) => Err(Denied::ReadOnly),
+            Source::Mirrored(_) => Err(ServiceError::ReadOnly),
         }
     }
 
-    /// A server asks to be listed.
-    pub async fn register(&self, call: Register) -> Result<Leased, Denied> {
-        let registry = self.open_registry()?;
-        count(&self.counts.registrations);
-        let done = registry.borrow_mut().register(self.now(), unix_ms(), call)?;
-        self.keep(done).await
+    /// Registers a server.
+    pub async fn register(&self, call: Register) -> Result<Leased, ServiceError> {
+        let registry = self.writable_registry()?;
+        increment(&self.counts.registrations);
+        let result = registry.borrow_mut().register(self.now(), unix_ms(), call)?;
+        self.commit(result).await
     }
 
-    /// A server lives.
-    pub fn renew(&self, call: &OnLease) -> Result<Leased, Denied> {
-        count(&self.counts.renewals);
+    /// Renews the lease of a server.
+    pub fn renew(&self, call: &OnLease) -> Result<Leased, ServiceError> {
+        increment(&self.counts.renewals);
         Ok(self.registry()?.borrow_mut().renew(self.now(), call)?)
     }
 
-    /// A server wants nothing new.
-    pub async fn drain(&self, call: &OnLease) -> Result<Leased, Denied> {
-        let done = self.open_registry()?.borrow_mut().drain(self.now(), call)?;
-        self.keep(done).await
+    /// Marks a server as draining.
+    pub async fn drain(&self, call: &OnLease) -> Result<Leased, ServiceError> {
+        let result = self.writable_registry()?.borrow_mut().drain(self.now(), call)?;
+        self.commit(result).await
     }
 
-    /// A server leaves.
-    pub async fn deregister(&self, call: &OnLease) -> Result<Leased, Denied> {
-        let done = self.open_registry()?.borrow_mut().deregister(call)?;
-        self.keep(done).await
+    /// Removes a server.
+    pub async fn deregister(&self, call: &OnLease) -> Result<Leased, ServiceError> {
+        let result = self.writable_registry()?.borrow_mut().deregister(call)?;
+        self.commit(result).await
     }
 
-    /// The registry, for a change that the disk can take.
-    fn open_registry(&self) -> Result<&RefCell<Registry>, Denied> {
+    /// The registry, unless the disk fails or too many changes wait for it.
+    fn writable_registry(&self) -> Result<&RefCell<Registry>, ServiceError> {
         let registry = self.registry()?;
-        match self.failing.get() || self.pending.borrow().len() >= PENDING_MAX {
-            true => Err(Denied::Disk),
+        match self.is_disk_failing.get() || self.pending.borrow().len() >= PENDING_CHANGES_MAX {
+            true => Err(ServiceError::DiskUnavailable),
             false => Ok(registry),
         }
     }
 
-    /// Waits until what a caller is told is on the disk.
-    async fn keep(&self, (told, record): (Leased, Option<Record>)) -> Result<Leased, Denied> {
-        self.pend(record);
-        let mut at = self.told.subscribe();
-        let kept = matches!(timeout(DISK_TIME, at.wait_for(|at| at.rev >= told.rev)).await, Ok(Ok(_)));
-        kept.then_some(told).ok_or(Denied::Disk)
+    /// Waits until the change that a response confirms is on disk.
+    async fn commit(&self, (grant, record): (Leased, Option<Record>)) -> Result<Leased, ServiceError> {
+        self.enqueue(record);
+        let mut published = self.published.subscribe();
+        let on_disk = published.wait_for(|position| position.rev >= grant.rev);
+        let is_on_disk = matches!(timeout(DISK_TIMEOUT, on_disk).await, Ok(Ok(_)));
+        is_on_disk.then_some(grant).ok_or(ServiceError::DiskUnavailable)
     }
 
-    fn pend(&self, records: impl IntoIterator<Item = Record>) {
+    fn enqueue(&self, records: impl IntoIterator<Item = Record>) {
         self.pending.borrow_mut().extend(records);
-        self.wakes.notify_one();
+        self.work_available.notify_one();
     }
 
-    /// Whether a version that somebody was told can be gone on from.
-    pub fn knows(&self, it: Position) -> bool {
-        let at = self.at();
-        // Another epoch gets the whole list.
-        let never_told = it.rev > self.unknown.0 && it.rev < self.unknown.1;
-        it.epoch != at.epoch || it.rev <= at.rev && !never_told
+    /// Whether a watcher can continue from a position that it has received.
+    pub fn can_continue_from(&self, position: Position) -> bool {
+        let current = self.position();
+        // A watcher with another epoch gets the full list.
+        let is_unused = position.rev > self.unused_versions.0 && position.rev < self.unused_versions.1;
+        position.epoch != current.epoch || position.rev <= current.rev && !is_unused
     }
 
-    /// Somebody was told a version of this line that this process doesn't know: the folder was an older copy, and what
-    /// came after it is lost. Servers get the time to register anew, and then another line of versions begins, once in a
-    /// life of the process, so that whoever makes such a version up gains nothing by doing it again.
-    pub fn was_told(&self, it: Position) {
-        let at = self.at();
-        if self.older.get() == Older::No && self.registry().is_ok() {
-            let ms = self.settle.as_millis();
+    /// Handles a watcher that has received a version of this epoch that this process doesn't know: the data
+    /// directory is an older copy, and later changes are lost. Servers get the time to register again, and
+    /// then a new epoch is started. This happens only once in the lifetime of the process, so that clients
+    /// can't cause it repeatedly with made-up versions.
+    pub fn on_unknown_version(&self, position: Position) {
+        let current = self.position();
+        if self.data_state.get() == DataState::Current && self.registry().is_ok() {
+            let ms = self.settle_time.as_millis();
             eprintln!(
-                "granitelead-discovery: an older copy: version {} was told, this list is at {}; a new one begins, \
-                 told in {ms} ms",
-                it.rev, at.rev
+                "granitelead-discovery: the data directory is an older copy: version {} was published before, this \
+                 list is at {}; starting a new list, which is served in {ms} ms",
+                position.rev, current.rev
             );
-            self.settles.set(self.begun.elapsed() + self.settle);
-            self.older.set(Older::Shown(it.rev));
-            self.wakes.notify_one();
+            self.serving_after.set(self.started.elapsed() + self.settle_time);
+            self.data_state.set(DataState::Outdated(position.rev));
+            self.work_available.notify_one();
         }
     }
 
-    /// Writes to the disk, again and again until it takes it; `what` is said of each failure.
-    async fn writes(
+    /// Writes to disk and retries until it succeeds; `failure` is the log message for each failed attempt.
+    async fn write_until_done(
         &self,
         mut store: Store,
-        what: &str,
+        failure: &str,
         write: impl Fn(&mut Store) -> std::io::Result<()> + Clone + Send + 'static,
     ) -> Result<Store, JoinError> {
         loop {
             let write = write.clone();
-            let wrote = tokio::task::spawn_blocking(move || {
-                let wrote = write(&mut store);
-                (store, wrote)
+            let task = tokio::task::spawn_blocking(move || {
+                let result = write(&mut store);
+                (store, result)
             });
-            let (back, wrote) = wrote.await?;
-            store = back;
-            self.failing.set(wrote.is_err());
-            let Err(e) = wrote else { return Ok(store) };
-            note(&self.odd, format_args!("{what}: {e}"));
-            tokio::time::sleep(DISK_PAUSE).await;
+            let (returned_store, result) = task.await?;
+            store = returned_store;
+            self.is_disk_failing.set(result.is_err());
+            let Err(e) = result else { return Ok(store) };
+            note(&self.event_count, format_args!("{failure}: {e}"));
+            tokio::time::sleep(DISK_RETRY_INTERVAL).await;
         }
     }
 
-    /// Another line of versions begins, with the servers that are listed.
-    async fn begin_anew(&self, mut store: Store, told: u64) -> Result<Store, JoinError> {
-        self.older.set(Older::Left);
+    /// Starts a new epoch with the servers that are listed, above version `published_rev`.
+    async fn start_new_epoch(&self, mut store: Store, published_rev: u64) -> Result<Store, JoinError> {
+        self.data_state.set(DataState::Replaced);
         let Ok(registry) = self.registry() else { return Ok(store) };
-        let (now, before) = (unix_ms(), self.at().epoch);
-        let at = Position { epoch: now.max(before + 1), rev: now.max(told + 1) };
-        // What changes from here on is of the new line, and waits until it has begun.
-        let lease = registry.borrow_mut().go_on_from(at.rev, now);
-        let write = move |store: &mut Store| store.begin_anew(at.epoch, at.rev, lease);
-        store = self.writes(store, "no new list begins", write).await?;
-        let mut board = self.board.borrow_mut();
-        let listed: Vec<_> = board.listed().cloned().collect();
-        *board = Board::new(at, listed, false, RING);
-        self.told.send_replace(at);
+        let (now, previous_epoch) = (unix_ms(), self.position().epoch);
+        let position = Position { epoch: now.max(previous_epoch + 1), rev: now.max(published_rev + 1) };
+        // Changes from now on belong to the new epoch and stay pending until it is on disk.
+        let lease = registry.borrow_mut().advance_counters(position.rev, now);
+        let write = move |store: &mut Store| store.start_epoch(position.epoch, position.rev, lease);
+        store = self.write_until_done(store, "can't start a new list", write).await?;
+        let mut feed = self.feed.borrow_mut();
+        let listed: Vec<_> = feed.listed().cloned().collect();
+        *feed = ChangeFeed::new(position, listed, false, HISTORY_MAX);
+        self.published.send_replace(position);
         Ok(store)
     }
 
-    /// Brings changes to the disk and then to the board, for ever: all that wait at once.
-    pub async fn keep_changes(self: Rc<Self>, mut store: Store) -> Result<(), JoinError> {
+    /// Writes pending changes to disk in batches and then publishes them, forever.
+    pub async fn write_changes(self: Rc<Self>, mut store: Store) -> Result<(), JoinError> {
         loop {
             let batch = Arc::new(self.pending.take());
             if batch.is_empty() {
-                match self.older.get() {
-                    Older::Shown(told) => store = self.begin_anew(store, told).await?,
-                    _ => self.wakes.notified().await,
+                match self.data_state.get() {
+                    DataState::Outdated(rev) => store = self.start_new_epoch(store, rev).await?,
+                    _ => self.work_available.notified().await,
                 }
                 continue;
             }
             let records = batch.clone();
             let write = move |store: &mut Store| store.append(&records);
-            store = self.writes(store, "not kept, and not told", write).await?;
-            let mut board = self.board.borrow_mut();
+            store = self.write_until_done(store, "can't write changes to disk", write).await?;
+            let mut feed = self.feed.borrow_mut();
             for record in batch.iter() {
-                board.publish(record.rev, record.target.clone());
+                feed.publish(record.rev, record.target.clone());
             }
-            self.told.send_replace(board.at());
+            self.published.send_replace(feed.position());
         }
     }
 
-    /// Looks after the leases, for ever.
-    pub async fn look_after_leases(self: Rc<Self>) {
+    /// Checks for expired leases periodically, forever.
+    pub async fn expire_leases(self: Rc<Self>) {
         let Ok(registry) = self.registry() else { return };
         loop {
-            tokio::time::sleep(LOOK).await;
-            let (records, noted) = registry.borrow_mut().look(self.now());
+            tokio::time::sleep(EXPIRY_CHECK_INTERVAL).await;
+            let (records, event) = registry.borrow_mut().check_expiry(self.now());
             for record in &records {
-                eprintln!("granitelead-discovery: {} has lapsed", record.target.uid);
+                eprintln!("granitelead-discovery: the lease of {} has expired", record.target.uid);
             }
             if !records.is_empty() {
-                self.pend(records);
+                self.enqueue(records);
             }
-            match noted {
+            match event {
                 None => {}
-                Some(Noted::Paused(ms)) => {
-                    eprintln!(
-                        "granitelead-discovery: stood still for {ms} ms; all leases have their time again"
-                    );
+                Some(Event::Paused(ms)) => {
+                    eprintln!("granitelead-discovery: paused for {ms} ms; all leases are renewed");
                 }
-                Some(Noted::Guarded(n, all)) => {
-                    eprintln!(
-                        "granitelead-discovery: guarded: {n} of {all} leases overdue; the servers stay listed"
-                    );
+                Some(Event::Guarded(n, all)) => {
+                    eprintln!("granitelead-discovery: {n} of {all} leases are overdue; suspending expiry");
                 }
-                Some(Noted::SeesAgain) => {
-                    eprintln!("granitelead-discovery: no more guarded: renewals come again")
+                Some(Event::GuardLifted) => {
+                    eprintln!("granitelead-discovery: renewals have resumed; resuming expiry")
                 }
-                Some(Noted::GaveUp(n)) => {
-                    eprintln!(
-                        "granitelead-discovery: no more guarded: {n} servers silent for too long are gone"
-                    );
+                Some(Event::GuardExpired(n)) => {
+                    eprintln!("granitelead-discovery: the guard period is over; {n} leases have expired");
                 }
             }
         }
     }
 
-    /// A mirror hears of the list it mirrors.
-    pub fn hear(&self, list: &HostList, _: ListScope) {
+    /// Publishes an update of the mirrored list.
+    pub fn mirror_update(&self, list: &HostList, _: ListScope) {
         if list.epoch.is_none() {
-            return note(&self.odd, "what is mirrored has no epoch; it is no such service");
+            return note(
+                &self.event_count,
+                "the mirrored source is not a list service: its list has no epoch",
+            );
         }
-        let mut board = self.board.borrow_mut();
-        board.follow(list.clone());
-        self.told.send_replace(board.at());
+        let mut feed = self.feed.borrow_mut();
+        feed.apply(list.clone());
+        self.published.send_replace(feed.position());
     }
 
-    /// Whether lists are told: not before servers have had the time to register anew.
-    pub fn tells(&self) -> Result<(), Denied> {
-        let epoch = self.board.borrow().at().epoch;
+    /// Checks that the list can be served. After it was lost, servers first get the time to register again.
+    pub fn check_serving(&self) -> Result<(), ServiceError> {
+        let epoch = self.feed.borrow().position().epoch;
         match &self.source {
-            Source::Leases(_) if self.begun.elapsed() < self.settles.get() => Err(Denied::Settling),
-            Source::Mirrored(_) if epoch == 0 => Err(Denied::NoList),
+            Source::Leases(_) if self.started.elapsed() < self.serving_after.get() => {
+                Err(ServiceError::Settling)
+            }
+            Source::Mirrored(_) if epoch == 0 => Err(ServiceError::NoList),
             _ => Ok(()),
         }
     }
 
-    /// For how long a mirror has heard nothing, if for long.
+    /// Time since a mirror last had contact with the origin of the list, if that makes it stale.
     fn stale_ms(&self) -> Option<u64> {
         match &self.source {
             Source::Leases(_) => None,
-            Source::Mirrored(listing) => Some(listing.age()).filter(|age| *age >= STALE),
+            Source::Mirrored(listing) => Some(listing.age()).filter(|age| *age >= STALE_AFTER),
         }
         .map(|age| age.as_millis() as u64)
     }
 
     /// The newest version.
-    pub fn at(&self) -> Position {
-        self.board.borrow().at()
+    pub fn position(&self) -> Position {
+        self.feed.borrow().position()
     }
 
-    /// The version, for those that compare.
+    /// The newest version as a response.
     pub fn revision(&self) -> Revision {
-        self.board.borrow().revision(self.stale_ms().unwrap_or(0))
+        self.feed.borrow().revision(self.stale_ms().unwrap_or(0))
     }
 
-    /// The whole list.
-    pub fn whole(&self) -> Bytes {
+    /// The full list as a JSON line.
+    pub fn full_list(&self) -> Bytes {
         match self.stale_ms() {
-            Some(ms) => self.board.borrow().stale_whole(ms),
-            None => self.board.borrow_mut().whole(),
+            Some(ms) => self.feed.borrow().stale_full_list(ms),
+            None => self.feed.borrow_mut().full_list(),
         }
     }
 
-    /// What a watcher has yet to be told.
-    pub fn next(&self, told: &mut Position) -> Option<Bytes> {
-        self.board.borrow_mut().next(told)
+    /// The changes that a watcher at `position` has not received, see [`ChangeFeed::next_line`].
+    pub fn next_line(&self, position: &mut Position) -> Option<Bytes> {
+        self.feed.borrow_mut().next_line(position)
     }
 
-    /// A sign of life: an empty line, or how stale the list is.
-    pub fn beat(&self) -> Bytes {
+    /// A heartbeat for a watch: an empty line, or an empty delta that states how stale the list is.
+    pub fn heartbeat(&self) -> Bytes {
         match self.stale_ms() {
-            Some(ms) => self.board.borrow().stale(ms),
+            Some(ms) => self.feed.borrow().stale_heartbeat(ms),
             None => Bytes::from_static(b"\n"),
         }
     }
 
-    /// Tells when the list changes.
+    /// Subscribes to changes of the newest version.
     pub fn changes(&self) -> watch::Receiver<Position> {
-        self.told.subscribe()
+        self.published.subscribe()
     }
 
-    /// The figures, a line each.
+    /// The metrics of the service, one per line.
     pub fn figures(&self, connections: usize) -> String {
-        let board = self.board.borrow();
-        let (at, listed) = (board.at(), board.listed().count());
-        let draining = board.listed().filter(|target| !target.is_up()).count();
-        let (leases, lapses, guarded) = match self.registry() {
+        let feed = self.feed.borrow();
+        let (position, listed) = (feed.position(), feed.listed().count());
+        let draining = feed.listed().filter(|target| !target.is_up()).count();
+        let (leases, expired, is_guarded) = match self.registry() {
             Ok(registry) => {
                 let registry = registry.borrow();
-                (registry.leases(), registry.lapsed_in_all(), registry.is_guarded())
+                (registry.leases(), registry.expired_count(), registry.is_guarded())
             }
             Err(_) => (0, 0, false),
         };
         let figures = [
-            ("rev", at.rev),
-            ("epoch", at.epoch),
+            ("rev", position.rev),
+            ("epoch", position.epoch),
             ("listed", listed as u64),
             ("draining", draining as u64),
             ("leases", leases as u64),
-            ("lapses", lapses),
-            ("guarded", u64::from(guarded)),
-            ("settling", u64::from(self.tells() == Err(Denied::Settling))),
+            ("lapses", expired),
+            ("guarded", u64::from(is_guarded)),
+            ("settling", u64::from(self.check_serving() == Err(ServiceError::Settling))),
             ("stale_ms", self.stale_ms().unwrap_or(0)),
-            ("disk_fails", u64::from(self.failing.get())),
+            ("disk_fails", u64::from(self.is_disk_failing.get())),
             ("pending", self.pending.borrow().len() as u64),
             ("registrations", self.counts.registrations.get()),
             ("renewals", self.counts.renewals.get()),
             ("watches", self.counts.watches.get() as u64),
             ("list_calls", self.counts.list_calls.get()),
-            ("lists_refused", self.counts.refused.get()),
+            ("lists_refused", self.counts.lists_refused.get()),
             ("connections", connections as u64),
         ];
         let mut text = String::new();
         for (name, value) in figures {
-            // Writing to a text cannot fail.
+            // Writing to a string can't fail.
             let _ = writeln!(text, "discovery_{name} {value}");
         }
         text
     }
 }
 
-/// The time of day.
+/// Wall-clock time, Unix time in ms.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
