--- a/crates/list-service/src/service.rs
+++ b/crates/list-service/src/service.rs
@@ -242,8 +242,8 @@
         if self.data_state.get() == DataState::Current && self.registry().is_ok() {
             let ms = self.settle_time.as_millis();
             eprintln!(
-                "granitelead-discovery: the data directory is an older copy: version {} was published before, this \
-                 list is at {}; starting a new list, which is served in {ms} ms",
+                "granitelead-discovery: the data directory is an older copy: version {} was published before, \
+                 this list is at {}; starting a new list, which is served in {ms} ms",
                 position.rev, current.rev
             );
             self.serving_after.set(self.started.elapsed() + self.settle_time);
--- a/crates/members/src/envelope.rs
+++ b/crates/members/src/envelope.rs
@@ -188,7 +188,10 @@
                     Ok(data) => prop_assert!(data == [n as u8] && accepted.insert(n)),
                     Err(reason) => {
                         prop_assert_eq!(reason, Dropped::Repeated);
-                        prop_assert!(accepted.contains(&n) || newest.is_some_and(|newest| newest > n + REPLAY_WINDOW as usize));
+                        prop_assert!(
+                            accepted.contains(&n)
+                                || newest.is_some_and(|newest| newest > n + REPLAY_WINDOW as usize)
+                        );
                     }
                 }
                 newest = newest.max(Some(n));
