--- a/crates/gatekeeper/src/peers.rs
+++ b/crates/gatekeeper/src/peers.rs
@@ -4,8 +4,8 @@
 use crate::config::PeersConfig;
 use crate::events::{Events, Own};
 use granitelead_base::ACCEPT_PAUSE;
-use granitelead_members::envelope::{Dropped, DATAGRAM_MAX};
-use granitelead_members::{Id, Members};
+use granitelead_members::envelope::{DropReason, DATAGRAM_MAX};
+use granitelead_members::{MemberId, Membership};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -24,7 +24,7 @@
 pub struct Peers {
     socket: UdpSocket,
     places: Vec<SocketAddr>,
-    members: RefCell<Members>,
+    members: RefCell<Membership>,
     begun: Instant,
     /// The present second, and what was sent in it.
     second: Cell<(u64, u32)>,
@@ -32,7 +32,7 @@
     /// Not sent, as too much was sent in that second, or as the system refused it.
     unsent: Cell<u64>,
     taken: Cell<u64>,
-    dropped: RefCell<BTreeMap<Dropped, u64>>,
+    dropped: RefCell<BTreeMap<DropReason, u64>>,
     events: Events,
 }
 
@@ -41,11 +41,11 @@
     pub async fn start(config: &PeersConfig, seed: u64, events: Events) -> io::Result<Rc<Peers>> {
         let socket = UdpSocket::bind(config.listen).await?;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let me = Id { number: config.me, start: unix.as_millis() as u64 };
+        let me = MemberId { number: config.me, start: unix.as_millis() as u64 };
         let mut rng = fastrand::Rng::with_seed(seed);
         let of = config.places.len() as u16;
         let first: Vec<u16> = (0..FIRST).map(|_| rng.u16(0..of)).collect();
-        let members = Members::new(0, me, of, &config.fleet, seed, &first);
+        let members = Membership::new(0, me, of, &config.fleet, seed, &first);
         Ok(Rc::new(Peers {
             socket,
             places: config.places.clone(),
@@ -69,7 +69,7 @@
         let mut buffer = [0; DATAGRAM_MAX + 1];
         loop {
             self.flush().await;
-            let due = self.begun + Duration::from_micros(self.members.borrow().next());
+            let due = self.begun + Duration::from_micros(self.members.borrow().next_timer());
             tokio::select! {
                 came = self.socket.recv_from(&mut buffer) => match came {
                     Ok((n, source)) => self.takes(source, &buffer[..n]),
@@ -78,7 +78,7 @@
                 },
                 () = sleep_until(due) => {
                     let now = self.now();
-                    self.members.borrow_mut().due(now);
+                    self.members.borrow_mut().run_timers(now);
                 }
             }
         }
@@ -88,8 +88,8 @@
         self.taken.set(self.taken.get() + 1);
         let from = self.places.iter().position(|at| *at == source);
         let heard = match from {
-            Some(from) => self.members.borrow_mut().hears(self.now(), from as u16, datagram),
-            None => Err(Dropped::Stranger),
+            Some(from) => self.members.borrow_mut().receive(self.now(), from as u16, datagram),
+            None => Err(DropReason::InvalidSender),
         };
         if let Err(why) = heard {
             *self.dropped.borrow_mut().entry(why).or_default() += 1;
@@ -99,7 +99,7 @@
     async fn flush(&self) {
         let (sends, changes) = {
             let mut members = self.members.borrow_mut();
-            (members.sends(), members.changes())
+            (members.take_outgoing(), members.take_changes())
         };
         for (gatekeeper, alive) in changes {
             self.events.says(&Own::Member { gatekeeper, alive });
@@ -122,26 +122,26 @@
     /// This process ends: some others are told.
     pub async fn leaves(&self) {
         let now = self.now();
-        self.members.borrow_mut().leaves(now);
+        self.members.borrow_mut().leave(now);
         self.flush().await;
     }
 
     /// Its figures.
     pub fn figures(&self) -> Vec<(String, u64)> {
         let members = self.members.borrow();
-        let states = ["alive", "doubted", "dead", "unknown"].into_iter().zip(members.count());
+        let states = ["alive", "doubted", "dead", "unknown"].into_iter().zip(members.count_by_state());
         let mut figures: Vec<(String, u64)> =
             states.map(|(state, n)| (format!("members{{state=\"{state}\"}}"), n as u64)).collect();
         let counts = [("sent", self.sent.get()), ("unsent", self.unsent.get()), ("taken", self.taken.get())];
         let dropped = self.dropped.borrow();
         let drops = [
-            ("damaged", Dropped::Damaged),
-            ("foreign", Dropped::Foreign),
-            ("repeated", Dropped::Repeated),
-            ("stranger", Dropped::Stranger),
+            ("damaged", DropReason::Corrupt),
+            ("foreign", DropReason::OtherFleet),
+            ("repeated", DropReason::Duplicate),
+            ("stranger", DropReason::InvalidSender),
         ]
         .map(|(word, why)| (word, dropped.get(&why).copied().unwrap_or(0)));
-        let all = counts.into_iter().chain(drops).chain([("senseless", members.refused())]);
+        let all = counts.into_iter().chain(drops).chain([("senseless", members.rejected_count())]);
         figures.extend(all.map(|(word, n)| (format!("peer_datagrams{{what=\"{word}\"}}"), n)));
         figures
     }
--- a/crates/members/src/envelope.rs
+++ b/crates/members/src/envelope.rs
@@ -16,19 +16,19 @@
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
-pub enum Dropped {
+pub enum DropReason {
     /// It is truncated, too long, or its checksum doesn't match.
     #[error("corrupt")]
-    Damaged,
+    Corrupt,
     /// It has another format version, or belongs to another fleet.
     #[error("other fleet or format version")]
-    Foreign,
+    OtherFleet,
     /// It was received before, is from a process that has been replaced, or is too far behind the newest one.
     #[error("duplicate or too old")]
-    Repeated,
+    Duplicate,
     /// Its sender doesn't match its source address, or it names a gatekeeper that is not in the fleet.
     #[error("invalid sender or member")]
-    Stranger,
+    InvalidSender,
 }
 
 fn fleet_tag(fleet: &str) -> [u8; 4] {
@@ -117,24 +117,24 @@
     }
 
     /// Checks a datagram from gatekeeper `from` and returns its payload.
-    pub fn decode<'a>(&mut self, from: u16, datagram: &'a [u8]) -> Result<&'a [u8], Dropped> {
+    pub fn decode<'a>(&mut self, from: u16, datagram: &'a [u8]) -> Result<&'a [u8], DropReason> {
         if datagram.len() > DATAGRAM_MAX {
-            return Err(Dropped::Damaged);
+            return Err(DropReason::Corrupt);
         }
-        let (contents, checksum) = datagram.split_last_chunk::<4>().ok_or(Dropped::Damaged)?;
+        let (contents, checksum) = datagram.split_last_chunk::<4>().ok_or(DropReason::Corrupt)?;
         if crc32fast::hash(contents) != u32::from_be_bytes(*checksum) {
-            return Err(Dropped::Damaged);
+            return Err(DropReason::Corrupt);
         }
-        let (version, rest) = contents.split_first().ok_or(Dropped::Damaged)?;
-        let (fleet, rest) = rest.split_first_chunk::<4>().ok_or(Dropped::Damaged)?;
+        let (version, rest) = contents.split_first().ok_or(DropReason::Corrupt)?;
+        let (fleet, rest) = rest.split_first_chunk::<4>().ok_or(DropReason::Corrupt)?;
         if (*version, *fleet) != (FORMAT_VERSION, self.fleet) {
-            return Err(Dropped::Foreign);
+            return Err(DropReason::OtherFleet);
         }
-        let (start, rest) = rest.split_first_chunk::<8>().ok_or(Dropped::Damaged)?;
-        let (sequence, data) = rest.split_first_chunk::<4>().ok_or(Dropped::Damaged)?;
+        let (start, rest) = rest.split_first_chunk::<8>().ok_or(DropReason::Corrupt)?;
+        let (sequence, data) = rest.split_first_chunk::<4>().ok_or(DropReason::Corrupt)?;
         let window = self.windows.entry(from).or_default();
         let is_new = window.accept(u64::from_be_bytes(*start), u32::from_be_bytes(*sequence));
-        is_new.then_some(data).ok_or(Dropped::Repeated)
+        is_new.then_some(data).ok_or(DropReason::Duplicate)
     }
 }
 
@@ -149,23 +149,23 @@
         let mut decoder = DatagramDecoder::new("f");
         let one = from.encode(b"one");
         assert_eq!(decoder.decode(3, &one), Ok(&b"one"[..]));
-        assert_eq!(decoder.decode(3, &one), Err(Dropped::Repeated));
+        assert_eq!(decoder.decode(3, &one), Err(DropReason::Duplicate));
         assert_eq!(decoder.decode(4, &one), Ok(&b"one"[..]), "each sender has its own count");
-        assert_eq!(decoder.decode(3, &other.encode(b"one")), Err(Dropped::Foreign));
+        assert_eq!(decoder.decode(3, &other.encode(b"one")), Err(DropReason::OtherFleet));
         let two = from.encode(b"two");
         for cut in 0..two.len() {
-            assert_eq!(decoder.decode(3, &two[..cut]), Err(Dropped::Damaged), "{cut}");
+            assert_eq!(decoder.decode(3, &two[..cut]), Err(DropReason::Corrupt), "{cut}");
         }
         for at in 0..two.len() {
             let mut changed = two.clone();
             changed[at] ^= 0x10;
-            assert_eq!(decoder.decode(3, &changed), Err(Dropped::Damaged), "{at}");
+            assert_eq!(decoder.decode(3, &changed), Err(DropReason::Corrupt), "{at}");
         }
-        assert_eq!(decoder.decode(3, &from.encode(&[7; DATAGRAM_MAX])), Err(Dropped::Damaged));
+        assert_eq!(decoder.decode(3, &from.encode(&[7; DATAGRAM_MAX])), Err(DropReason::Corrupt));
         // A restarted process begins a new sequence, and datagrams of its predecessor are dropped.
         let mut successor = DatagramEncoder::new("f", 6);
         assert_eq!(decoder.decode(3, &successor.encode(b"new")), Ok(&b"new"[..]));
-        assert_eq!(decoder.decode(3, &two), Err(Dropped::Repeated));
+        assert_eq!(decoder.decode(3, &two), Err(DropReason::Duplicate));
     }
 
     proptest! {
@@ -187,7 +187,7 @@
                 match decoder.decode(0, &all[n]) {
                     Ok(data) => prop_assert!(data == [n as u8] && accepted.insert(n)),
                     Err(reason) => {
-                        prop_assert_eq!(reason, Dropped::Repeated);
+                        prop_assert_eq!(reason, DropReason::Duplicate);
                         prop_assert!(
                             accepted.contains(&n)
                                 || newest.is_some_and(|newest| newest > n + REPLAY_WINDOW as usize)
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -6,7 +6,7 @@
 mod id;
 mod wire;
 
-use envelope::{DatagramDecoder, DatagramEncoder, Dropped, DATAGRAM_MAX, OVERHEAD};
+use envelope::{DatagramDecoder, DatagramEncoder, DropReason, DATAGRAM_MAX, OVERHEAD};
 use foca::{Config, Foca, Member, NoCustomBroadcast, Notification, PeriodicParams, Runtime, State, Timer};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -16,38 +16,38 @@
 use std::time::Duration;
 use wire::WireCodec;
 
-pub use id::Id;
+pub use id::MemberId;
 
 /// Mean interval between announcements to a gatekeeper of unknown state.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// State of another gatekeeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum MemberState {
     /// Nothing has been received about it since this process started.
     Unknown,
     /// It answers probes, directly or through others.
     Alive,
     /// It left a probe of some member unanswered, and may still refute the suspicion.
-    Doubted,
+    Suspect,
     /// It has not answered for too long, or has left.
     Dead,
 }
 
 /// Timers of `foca` by due time, in µs, and a sequence number that keeps those of the same time in order.
-type Timers = BTreeMap<(u64, u64), Timer<Id>>;
+type Timers = BTreeMap<(u64, u64), Timer<MemberId>>;
 
 /// Collects the effects that a call of `foca` requests: timers, datagrams to send and membership changes.
 struct EffectCollector<'a> {
     now: u64,
     sequence: &'a mut u64,
     timers: &'a mut Timers,
-    outgoing: &'a mut Vec<(Id, Vec<u8>)>,
+    outgoing: &'a mut Vec<(MemberId, Vec<u8>)>,
     changes: &'a mut Vec<(u16, bool)>,
 }
 
-impl Runtime<Id> for EffectCollector<'_> {
-    fn notify(&mut self, notification: Notification<'_, Id>) {
+impl Runtime<MemberId> for EffectCollector<'_> {
+    fn notify(&mut self, notification: Notification<'_, MemberId>) {
         match notification {
             Notification::MemberUp(id) => self.changes.push((id.number, true)),
             Notification::MemberDown(id) => self.changes.push((id.number, false)),
@@ -55,11 +55,11 @@
         }
     }
 
-    fn send_to(&mut self, to: Id, data: &[u8]) {
+    fn send_to(&mut self, to: MemberId, data: &[u8]) {
         self.outgoing.push((to, data.to_vec()));
     }
 
-    fn submit_after(&mut self, event: Timer<Id>, after: Duration) {
+    fn submit_after(&mut self, event: Timer<MemberId>, after: Duration) {
         *self.sequence += 1;
         self.timers.insert((self.now + after.as_micros() as u64, *self.sequence), event);
     }
@@ -89,29 +89,36 @@
 }
 
 /// The membership of the fleet as known to one gatekeeper.
-pub struct Members {
-    foca: Foca<Id, WireCodec, ChaCha8Rng, NoCustomBroadcast>,
+pub struct Membership {
+    foca: Foca<MemberId, WireCodec, ChaCha8Rng, NoCustomBroadcast>,
     fleet_size: u16,
     encoder: DatagramEncoder,
     decoder: DatagramDecoder,
     timers: Timers,
     sequence: u64,
-    outgoing: Vec<(Id, Vec<u8>)>,
+    outgoing: Vec<(MemberId, Vec<u8>)>,
     changes: Vec<(u16, bool)>,
     /// Time of the next announcement to a gatekeeper of unknown state, in µs.
     next_announce: u64,
     rng: ChaCha8Rng,
     /// Number of calls that `foca` rejected, caused by invalid messages of peers and harmless.
-    refused: u64,
+    rejected_count: u64,
 }
 
-impl Members {
+impl Membership {
     /// Starts the membership of gatekeeper `me` in the fleet named `fleet` of `fleet_size` gatekeepers, and
     /// announces it at once to the gatekeepers in `seed_members`, which answer with the members they know.
     /// Times are in µs.
-    pub fn new(now: u64, me: Id, fleet_size: u16, fleet: &str, seed: u64, seed_members: &[u16]) -> Members {
+    pub fn new(
+        now: u64,
+        me: MemberId,
+        fleet_size: u16,
+        fleet: &str,
+        seed: u64,
+        seed_members: &[u16],
+    ) -> Membership {
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut members = Members {
+        let mut members = Membership {
             foca: Foca::new(me, swim_config(fleet_size), rng, WireCodec),
             fleet_size,
             encoder: DatagramEncoder::new(fleet, me.start),
@@ -122,37 +129,37 @@
             changes: Vec::new(),
             next_announce: 0,
             rng: ChaCha8Rng::seed_from_u64(!seed),
-            refused: 0,
+            rejected_count: 0,
         };
         members.next_announce = now + members.draw_announce_wait();
         for number in seed_members.iter().copied().filter(|number| *number != me.number) {
             // The start time of its process is learned from its answer.
-            members.call_foca(now, |foca, effects| foca.announce(Id { number, start: 0 }, effects));
+            members.call_foca(now, |foca, effects| foca.announce(MemberId { number, start: 0 }, effects));
         }
         members
     }
 
-    /// Calls `foca` and collects the effects. An error is counted as refused.
+    /// Calls `foca` and collects the effects. An error is counted as rejected.
     fn call_foca(
         &mut self,
         now: u64,
         call: impl FnOnce(
-            &mut Foca<Id, WireCodec, ChaCha8Rng, NoCustomBroadcast>,
+            &mut Foca<MemberId, WireCodec, ChaCha8Rng, NoCustomBroadcast>,
             &mut EffectCollector,
         ) -> Result<(), foca::Error>,
     ) {
-        let Members { foca, timers, sequence, outgoing, changes, .. } = self;
+        let Membership { foca, timers, sequence, outgoing, changes, .. } = self;
         let mut effects = EffectCollector { now, sequence, timers, outgoing, changes };
         if call(foca, &mut effects).is_err() {
-            self.refused += 1;
+            self.rejected_count += 1;
         }
     }
 
     /// Handles a datagram received from the address of gatekeeper `from`.
-    pub fn hears(&mut self, now: u64, from: u16, datagram: &[u8]) -> Result<(), Dropped> {
+    pub fn receive(&mut self, now: u64, from: u16, datagram: &[u8]) -> Result<(), DropReason> {
         let data = self.decoder.decode(from, datagram)?;
         if !wire::is_valid(data, from, self.fleet_size) {
-            return Err(Dropped::Stranger);
+            return Err(DropReason::InvalidSender);
         }
         self.call_foca(now, |foca, effects| foca.handle_data(data, effects));
         Ok(())
@@ -171,17 +178,17 @@
             self.foca.iter_membership_state().map(|member| member.id().number).collect();
         let unknown: Vec<u16> = (0..self.fleet_size).filter(|n| *n != me && !known.contains(n)).collect();
         if let Some(number) = unknown.choose(&mut self.rng).copied() {
-            self.call_foca(now, |foca, effects| foca.announce(Id { number, start: 0 }, effects));
+            self.call_foca(now, |foca, effects| foca.announce(MemberId { number, start: 0 }, effects));
         }
     }
 
     /// Time of the next timer, in µs.
-    pub fn next(&self) -> u64 {
+    pub fn next_timer(&self) -> u64 {
         self.timers.keys().next().map_or(self.next_announce, |(at, _)| self.next_announce.min(*at))
     }
 
     /// Runs all timers that are due at `now`.
-    pub fn due(&mut self, now: u64) {
+    pub fn run_timers(&mut self, now: u64) {
         if now >= self.next_announce {
             self.announce_to_unknown(now);
         }
@@ -195,35 +202,35 @@
     }
 
     /// Leaves the fleet: some other members are notified, who pass it on to the rest.
-    pub fn leaves(&mut self, now: u64) {
+    pub fn leave(&mut self, now: u64) {
         self.call_foca(now, |foca, effects| foca.leave_cluster(effects));
     }
 
     /// Takes the datagrams to send, each with the number of its receiver.
-    pub fn sends(&mut self) -> Vec<(u16, Vec<u8>)> {
+    pub fn take_outgoing(&mut self) -> Vec<(u16, Vec<u8>)> {
         let outgoing = std::mem::take(&mut self.outgoing);
         outgoing.into_iter().map(|(to, data)| (to.number, self.encoder.encode(&data))).collect()
     }
 
     /// Takes the changes since the last call: the number of a gatekeeper, and whether it is now alive (or
     /// dead).
-    pub fn changes(&mut self) -> Vec<(u16, bool)> {
+    pub fn take_changes(&mut self) -> Vec<(u16, bool)> {
         std::mem::take(&mut self.changes)
     }
 
     /// State of gatekeeper `number`.
-    pub fn standing(&self, number: u16) -> Standing {
+    pub fn state(&self, number: u16) -> MemberState {
         let known = self.foca.iter_membership_state().find(|member| member.id().number == number);
         match known.map(Member::state) {
-            None => Standing::Unknown,
-            Some(State::Alive) => Standing::Alive,
-            Some(State::Suspect) => Standing::Doubted,
-            Some(State::Down) => Standing::Dead,
+            None => MemberState::Unknown,
+            Some(State::Alive) => MemberState::Alive,
+            Some(State::Suspect) => MemberState::Suspect,
+            Some(State::Down) => MemberState::Dead,
         }
     }
 
     /// Number of other gatekeepers in each state: alive, suspect, dead, unknown.
-    pub fn count(&self) -> [usize; 4] {
+    pub fn count_by_state(&self) -> [usize; 4] {
         let mut count = [0; 4];
         for member in self.foca.iter_membership_state() {
             count[match member.state() {
@@ -237,7 +244,7 @@
     }
 
     /// Number of messages and timers that `foca` rejected.
-    pub fn refused(&self) -> u64 {
-        self.refused
+    pub fn rejected_count(&self) -> u64 {
+        self.rejected_count
     }
 }
--- a/crates/members/src/wire.rs
+++ b/crates/members/src/wire.rs
@@ -1,7 +1,7 @@
 //! Binary encoding of the SWIM messages: fixed-size integers, big-endian. A header takes 24 to 34 bytes, a
 //! member 13.
 
-use crate::id::Id;
+use crate::id::MemberId;
 use bytes::{Buf, BufMut};
 use foca::{Codec, Header, Member, Message, State};
 use thiserror::Error;
@@ -28,15 +28,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WireCodec;
 
-fn put_id(id: &Id, buf: &mut impl BufMut) {
+fn put_id(id: &MemberId, buf: &mut impl BufMut) {
     buf.put_u16(id.number);
     buf.put_u64(id.start);
 }
 
-fn get_id(buf: &mut impl Buf) -> Result<Id, WireError> {
+fn get_id(buf: &mut impl Buf) -> Result<MemberId, WireError> {
     let number = buf.try_get_u16().map_err(|_| WireError::Truncated)?;
     let start = buf.try_get_u64().map_err(|_| WireError::Truncated)?;
-    Ok(Id { number, start })
+    Ok(MemberId { number, start })
 }
 
 fn get_u8(buf: &mut impl Buf) -> Result<u8, WireError> {
@@ -48,7 +48,7 @@
 }
 
 /// Tag of the message kind, probe number, and the third party that an indirect probe names.
-fn message_fields(message: &Message<Id>) -> (u8, u8, Option<&Id>) {
+fn message_fields(message: &Message<MemberId>) -> (u8, u8, Option<&MemberId>) {
     match message {
         Message::Ping(n) => (0, *n, None),
         Message::Ack(n) => (1, *n, None),
@@ -64,10 +64,10 @@
     }
 }
 
-impl Codec<Id> for WireCodec {
+impl Codec<MemberId> for WireCodec {
     type Error = WireError;
 
-    fn encode_header(&mut self, header: &Header<Id>, mut buf: impl BufMut) -> Result<(), WireError> {
+    fn encode_header(&mut self, header: &Header<MemberId>, mut buf: impl BufMut) -> Result<(), WireError> {
         let (kind, probe_number, third_party) = message_fields(&header.message);
         if buf.remaining_mut() < HEADER_SIZE + 1 + third_party.map_or(0, |_| ID_SIZE) {
             return Err(WireError::BufferFull);
@@ -83,7 +83,7 @@
         Ok(())
     }
 
-    fn decode_header(&mut self, mut buf: impl Buf) -> Result<Header<Id>, WireError> {
+    fn decode_header(&mut self, mut buf: impl Buf) -> Result<Header<MemberId>, WireError> {
         let src = get_id(&mut buf)?;
         let src_incarnation = get_u16(&mut buf)?;
         let dst = get_id(&mut buf)?;
@@ -105,7 +105,7 @@
         Ok(Header { src, src_incarnation, dst, message })
     }
 
-    fn encode_member(&mut self, member: &Member<Id>, mut buf: impl BufMut) -> Result<(), WireError> {
+    fn encode_member(&mut self, member: &Member<MemberId>, mut buf: impl BufMut) -> Result<(), WireError> {
         if buf.remaining_mut() < MEMBER_SIZE {
             return Err(WireError::BufferFull);
         }
@@ -119,7 +119,7 @@
         Ok(())
     }
 
-    fn decode_member(&mut self, mut buf: impl Buf) -> Result<Member<Id>, WireError> {
+    fn decode_member(&mut self, mut buf: impl Buf) -> Result<Member<MemberId>, WireError> {
         let (id, incarnation) = (get_id(&mut buf)?, get_u16(&mut buf)?);
         let state = match get_u8(&mut buf)? {
             0 => State::Alive,
--- a/crates/members/tests/fleet.rs
+++ b/crates/members/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Simulates whole fleets in virtual time, with datagrams delayed, lost, duplicated and reordered, and with
 //! processes that crash, pause and restart.
 
-use granitelead_members::{Id, Members, Standing};
+use granitelead_members::{MemberId, MemberState, Membership};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -15,7 +15,7 @@
 
 struct Fleet {
     now: u64,
-    members: Vec<Option<Members>>,
+    members: Vec<Option<Membership>>,
     start_times: Vec<u64>,
     paused: Vec<bool>,
     /// Datagrams in transit, by delivery time and sequence number: receiver, sender, bytes.
@@ -53,17 +53,17 @@
 
     fn start(&mut self, number: usize) {
         self.start_times[number] = 1_000_000 + self.now / MS;
-        let me = Id { number: number as u16, start: self.start_times[number] };
+        let me = MemberId { number: number as u16, start: self.start_times[number] };
         let size = self.members.len() as u16;
         let seed_members = [self.rng.random_range(0..size), self.rng.random_range(0..size)];
         let seed = self.rng.random_range(0..u64::MAX);
-        self.members[number] = Some(Members::new(self.now, me, size, "test", seed, &seed_members));
+        self.members[number] = Some(Membership::new(self.now, me, size, "test", seed, &seed_members));
         self.send_pending(number);
     }
 
     fn send_pending(&mut self, number: usize) {
         let Some(members) = self.members[number].as_mut() else { return };
-        for (to, bytes) in members.sends() {
+        for (to, bytes) in members.take_outgoing() {
             self.sent[number] += 1;
             self.bytes += bytes.len() as u64;
             assert!(bytes.len() <= 256);
@@ -85,13 +85,13 @@
         loop {
             let is_running = |n: &usize| !self.paused[*n];
             let due = (0..self.members.len()).filter(is_running);
-            let due = due.filter_map(|n| Some((self.members[n].as_ref()?.next(), n))).min();
+            let due = due.filter_map(|n| Some((self.members[n].as_ref()?.next_timer(), n))).min();
             let next = self.in_transit.keys().next().map(|(at, _)| *at);
             match (due, next) {
                 (Some((at, n)), next) if at < until && next.is_none_or(|next| at <= next) => {
                     self.now = self.now.max(at);
                     let now = self.now;
-                    self.members[n].as_mut().unwrap().due(now);
+                    self.members[n].as_mut().unwrap().run_timers(now);
                     self.send_pending(n);
                 }
                 (_, Some(at)) if at < until => {
@@ -109,7 +109,7 @@
                     }
                     if let Some(members) = self.members[to].as_mut() {
                         self.received[to] += 1;
-                        let _ = members.hears(now, from as u16, &bytes);
+                        let _ = members.receive(now, from as u16, &bytes);
                     }
                     self.send_pending(to);
                 }
@@ -128,8 +128,8 @@
         for (n, members) in self.members.iter().enumerate() {
             let Some(members) = members else { continue };
             for other in (0..self.members.len()).filter(|other| *other != n) {
-                let state = members.standing(other as u16);
-                let is_alive = matches!(state, Standing::Alive | Standing::Doubted);
+                let state = members.state(other as u16);
+                let is_alive = matches!(state, MemberState::Alive | MemberState::Suspect);
                 if is_alive != self.members[other].is_some() {
                     return Err(format!("{n} sees {other} as {state:?}"));
                 }
@@ -171,7 +171,7 @@
     fleet.run_for(DETECTION_TIME);
     fleet.check_agreement().unwrap();
     let now = fleet.now;
-    fleet.members[7].as_mut().unwrap().leaves(now);
+    fleet.members[7].as_mut().unwrap().leave(now);
     fleet.send_pending(7);
     fleet.members[7] = None;
     fleet.run_for(3 * S);
@@ -192,8 +192,8 @@
     fleet.run_for(20 * S);
     fleet.is_reachable = Box::new(|a, b| (a < 4) == (b < 4));
     fleet.run_for(DETECTION_TIME);
-    assert!((4..9).all(|n| fleet.members[0].as_ref().unwrap().standing(n) == Standing::Dead));
-    assert!((0..4).all(|n| fleet.members[8].as_ref().unwrap().standing(n) == Standing::Dead));
+    assert!((4..9).all(|n| fleet.members[0].as_ref().unwrap().state(n) == MemberState::Dead));
+    assert!((0..4).all(|n| fleet.members[8].as_ref().unwrap().state(n) == MemberState::Dead));
     fleet.is_reachable = Box::new(|_, _| true);
     fleet.run_for(2 * DETECTION_TIME);
     fleet.check_agreement().unwrap();
@@ -205,13 +205,13 @@
     fleet.run_for(DETECTION_TIME);
     assert!((0..9)
         .filter(|n| *n != 2)
-        .all(|n| fleet.members[n].as_ref().unwrap().standing(2) == Standing::Dead));
+        .all(|n| fleet.members[n].as_ref().unwrap().state(2) == MemberState::Dead));
     fleet.is_reachable = Box::new(|_, _| true);
     fleet.run_for(2 * DETECTION_TIME);
     fleet.check_agreement().unwrap();
     fleet.paused[4] = true;
     fleet.run_for(30 * S);
-    assert_eq!(fleet.members[0].as_ref().unwrap().standing(4), Standing::Dead);
+    assert_eq!(fleet.members[0].as_ref().unwrap().state(4), MemberState::Dead);
     fleet.paused[4] = false;
     fleet.run_for(2 * DETECTION_TIME);
     fleet.check_agreement().unwrap();
@@ -219,17 +219,17 @@
 
 #[test]
 fn a_datagram_with_a_wrong_sender_or_a_member_outside_the_fleet_is_dropped() {
-    use granitelead_members::envelope::Dropped;
-    let id = |number| Id { number, start: 9 };
-    let mut from = Members::new(0, id(5), 9, "test", 1, &[1]);
-    let (receiver, datagram) = from.sends().remove(0);
+    use granitelead_members::envelope::DropReason;
+    let id = |number| MemberId { number, start: 9 };
+    let mut from = Membership::new(0, id(5), 9, "test", 1, &[1]);
+    let (receiver, datagram) = from.take_outgoing().remove(0);
     assert_eq!(receiver, 1);
-    let mut to = Members::new(0, id(1), 9, "test", 2, &[]);
-    assert_eq!(to.hears(0, 4, &datagram), Err(Dropped::Stranger));
-    let mut smaller_fleet = Members::new(0, id(1), 3, "test", 2, &[]);
-    assert_eq!(smaller_fleet.hears(0, 5, &datagram), Err(Dropped::Stranger));
-    assert_eq!(to.hears(0, 5, &datagram), Ok(()));
-    assert_eq!((to.standing(5), to.count()), (Standing::Alive, [1, 0, 0, 7]));
+    let mut to = Membership::new(0, id(1), 9, "test", 2, &[]);
+    assert_eq!(to.receive(0, 4, &datagram), Err(DropReason::InvalidSender));
+    let mut smaller_fleet = Membership::new(0, id(1), 3, "test", 2, &[]);
+    assert_eq!(smaller_fleet.receive(0, 5, &datagram), Err(DropReason::InvalidSender));
+    assert_eq!(to.receive(0, 5, &datagram), Ok(()));
+    assert_eq!((to.state(5), to.count_by_state()), (MemberState::Alive, [1, 0, 0, 7]));
 }
 
 proptest! {
