--- a/crates/base/src/connection.rs
+++ b/crates/base/src/connection.rs
@@ -13,27 +13,27 @@
 use tokio::task::AbortHandle;
 
 /// One slot of a bounded number, released when dropped.
-pub struct Place(Rc<Cell<usize>>);
+pub struct Slot(Rc<Cell<usize>>);
 
-impl Place {
+impl Slot {
     /// Takes a slot if fewer than `limit` are in use.
-    pub fn take(in_use: &Rc<Cell<usize>>, limit: usize) -> Option<Place> {
+    pub fn acquire(in_use: &Rc<Cell<usize>>, limit: usize) -> Option<Slot> {
         (in_use.get() < limit).then(|| {
             in_use.set(in_use.get() + 1);
-            Place(in_use.clone())
+            Slot(in_use.clone())
         })
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Handle to a connection while the HTTP library reads and writes it through [`WireIo`].
-pub struct Wire {
-    stream: RefCell<Option<(TcpStream, Place)>>,
+/// Handle to a connection while the HTTP library reads and writes it through [`ConnectionIo`].
+pub struct ConnectionHandle {
+    stream: RefCell<Option<(TcpStream, Slot)>>,
     written: Cell<u64>,
     /// Value of `written` at which the current request is completely written.
     request_end: Cell<Option<u64>>,
@@ -44,17 +44,21 @@
     timed_out: Cell<bool>,
 }
 
-impl Wire {
+impl ConnectionHandle {
     /// Wraps a connection.
-    pub fn new(stream: TcpStream, slot: Place) -> Rc<Wire> {
-        Wire::counting(stream, slot, Rc::default())
+    pub fn new(stream: TcpStream, slot: Slot) -> Rc<ConnectionHandle> {
+        ConnectionHandle::with_request_counter(stream, slot, Rc::default())
     }
 
     /// Wraps a connection that increments `requests_written` each time a request has been completely written.
-    pub fn counting(stream: TcpStream, slot: Place, requests_written: Rc<Cell<u64>>) -> Rc<Wire> {
+    pub fn with_request_counter(
+        stream: TcpStream,
+        slot: Slot,
+        requests_written: Rc<Cell<u64>>,
+    ) -> Rc<ConnectionHandle> {
         let (stream, driver) = (RefCell::new(Some((stream, slot))), RefCell::default());
         let timed_out = Cell::new(false);
-        Rc::new(Wire {
+        Rc::new(ConnectionHandle {
             stream,
             written: Cell::new(0),
             request_end: Cell::new(None),
@@ -65,12 +69,12 @@
     }
 
     /// Announces a request that is complete once `written` bytes have been written in total.
-    pub fn expect(&self, written: u64) {
+    pub fn expect_request_end(&self, written: u64) {
         self.request_end.set(Some(written));
     }
 
     /// Sets the task that drives the connection; it is aborted when the connection is closed.
-    pub fn driven_by(&self, task: AbortHandle) {
+    pub fn set_driver(&self, task: AbortHandle) {
         *self.driver.borrow_mut() = Some(task);
     }
 
@@ -82,18 +86,18 @@
     }
 
     /// Whether the connection failed because the peer acknowledged no data within the user timeout.
-    pub fn is_silent(&self) -> bool {
+    pub fn has_timed_out(&self) -> bool {
         self.timed_out.get()
     }
 
     /// Number of bytes written to the socket so far.
-    pub fn written(&self) -> u64 {
+    pub fn bytes_written(&self) -> u64 {
         self.written.get()
     }
 
     /// Whether the connection is open and has no unread input. Asks the kernel directly, since the runtime
     /// may learn of input or a close later.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         use rustix::net::{recv, RecvFlags};
         let mut byte = [0_u8; 1];
         let stream = self.stream.borrow();
@@ -134,23 +138,23 @@
     }
 }
 
-/// The reader and writer of a [`Wire`] that is given to the HTTP library.
-pub struct WireIo(pub Rc<Wire>);
+/// The reader and writer of a [`ConnectionHandle`] that is given to the HTTP library.
+pub struct ConnectionIo(pub Rc<ConnectionHandle>);
 
-impl Drop for WireIo {
+impl Drop for ConnectionIo {
     fn drop(&mut self) {
         // The library has finished with the connection: its descriptor must not stay open.
         drop(self.0.stream.borrow_mut().take());
     }
 }
 
-impl AsyncRead for WireIo {
+impl AsyncRead for ConnectionIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         self.0.poll(|stream| stream.poll_read(cx, buf))
     }
 }
 
-impl AsyncWrite for WireIo {
+impl AsyncWrite for ConnectionIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.0.count(self.0.poll(|stream| stream.poll_write(cx, buf)))
     }
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,8 +1,8 @@
 //! Helpers shared by all programs of the workspace: program startup, rate-limited logging, retry backoff and
 //! TCP connections.
 
+pub mod connection;
 pub mod linger;
-pub mod wire;
 
 use std::future::Future;
 use std::process::ExitCode;
@@ -77,7 +77,7 @@
 }
 
 /// Logs a recurring event at a reduced rate: only when its count, which this increments, is a power of two.
-pub fn note(count: &std::cell::Cell<u64>, message: impl std::fmt::Display) {
+pub fn log_throttled(count: &std::cell::Cell<u64>, message: impl std::fmt::Display) {
     count.set(count.get() + 1);
     if count.get().is_power_of_two() {
         eprintln!("granitelead: {message} (occurrence {})", count.get());
@@ -85,7 +85,7 @@
 }
 
 /// Parses a positive number in plain decimal notation. Signs, exponents and names such as `inf` are rejected.
-pub fn decimal(text: &str) -> Option<f64> {
+pub fn parse_positive_decimal(text: &str) -> Option<f64> {
     let is_plain = text.len() <= 32 && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     text.parse().ok().filter(|n: &f64| is_plain && *n > 0.0)
 }
@@ -130,7 +130,7 @@
     }
 
     /// Returns the next wait, uniformly distributed up to twice the mean, and doubles the mean.
-    pub fn draw(&mut self) -> Duration {
+    pub fn next_wait(&mut self) -> Duration {
         let mean = self.next_mean;
         self.next_mean = (mean * 2).min(self.max_mean);
         mean.mul_f64(2.0 * self.rng.f64())
@@ -138,7 +138,7 @@
 
     /// Sleeps for the next wait.
     pub async fn wait(&mut self) {
-        tokio::time::sleep(self.draw()).await;
+        tokio::time::sleep(self.next_wait()).await;
     }
 }
 
@@ -154,10 +154,10 @@
         let mut by_second = vec![0; 60];
         for gatekeeper in 0..gatekeepers {
             let mut backoff = Backoff::shared(gatekeepers, WITHIN, u64::from(gatekeeper));
-            let mut at = backoff.draw();
+            let mut at = backoff.next_wait();
             while at < Duration::from_secs(60) {
                 by_second[at.as_secs() as usize] += 1;
-                at += backoff.draw();
+                at += backoff.next_wait();
             }
         }
         by_second
@@ -181,8 +181,8 @@
         for gatekeepers in [1, 100, 300, 10_000] {
             for seed in 0..300 {
                 let mut backoff = Backoff::shared(gatekeepers, WITHIN, seed);
-                assert!(backoff.draw() <= WITHIN / 2, "{gatekeepers}");
-                assert!((0..20).all(|_| backoff.draw() <= 2 * WITHIN), "{gatekeepers}");
+                assert!(backoff.next_wait() <= WITHIN / 2, "{gatekeepers}");
+                assert!((0..20).all(|_| backoff.next_wait() <= 2 * WITHIN), "{gatekeepers}");
             }
         }
     }
@@ -190,11 +190,11 @@
     #[test]
     fn waits_grow_to_a_maximum_and_can_be_reset() {
         let mut backoff = Backoff::new(7);
-        let waits: Vec<Duration> = (0..200).map(|_| backoff.draw()).collect();
+        let waits: Vec<Duration> = (0..200).map(|_| backoff.next_wait()).collect();
         assert!(waits[0] <= Duration::from_millis(100), "{waits:?}");
         assert!(waits.iter().all(|wait| *wait <= Duration::from_secs(2)), "{waits:?}");
         assert!(waits.iter().sum::<Duration>() >= Duration::from_secs(150), "{waits:?}");
         backoff.reset();
-        assert!(backoff.draw() <= Duration::from_millis(100));
+        assert!(backoff.next_wait() <= Duration::from_millis(100));
     }
 }
--- a/crates/gatekeeper/src/clients/side.rs
+++ b/crates/gatekeeper/src/clients/side.rs
@@ -10,7 +10,7 @@
 use crate::times;
 use bytes::Bytes;
 use granitelead_base::linger::Linger;
-use granitelead_base::{decimal, note, set_user_timeout, ACCEPT_PAUSE};
+use granitelead_base::{log_throttled, parse_positive_decimal, set_user_timeout, ACCEPT_PAUSE};
 use granitelead_decisions::settings::Names;
 use granitelead_decisions::{ClassId, CustomerId, Effect, PlanId};
 use hyper::body::{Body, Incoming};
@@ -348,7 +348,7 @@
                 Ok((stream, from)) => self.arrive(stream, from.ip()),
                 // Out of descriptors, or the client has gone already: neither may end the gatekeeper.
                 Err(e) => {
-                    note(&self.odd, format_args!("accept: {e}"));
+                    log_throttled(&self.odd, format_args!("accept: {e}"));
                     self.shed();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
@@ -609,7 +609,7 @@
         }
         let customer = customer(&head.headers)?;
         let (units, gatekeepers) = terms(header(&head.headers, "x-call-terms")?, self.instances)?;
-        let patience = decimal(header(&head.headers, "request-timeout")?);
+        let patience = parse_positive_decimal(header(&head.headers, "request-timeout")?);
         let patience = patience.and_then(|s| Duration::try_from_secs_f64(s).ok());
         let patience = patience.ok_or(bad("bad Request-Timeout"))?;
         header(&head.headers, "request-id")?;
@@ -707,7 +707,7 @@
     let (mut units, mut spread) = (None, None);
     for term in text.split(',') {
         match term.trim().split_once('=') {
-            Some(("units", value)) => units = decimal(value),
+            Some(("units", value)) => units = parse_positive_decimal(value),
             Some(("spread", value)) => spread = value.parse().ok().filter(|n| (1..=instances).contains(n)),
             Some(("first", value)) if value.parse::<u32>().is_ok_and(|n| n < instances) => {}
             Some((name, _)) if name != "first" => {}
--- a/crates/gatekeeper/src/config.rs
+++ b/crates/gatekeeper/src/config.rs
@@ -3,8 +3,8 @@
 use crate::events::Events;
 use granitelead_decisions::settings::{flatten, settings, Fault, FieldError, Fields, Names};
 use granitelead_decisions::{Micros, Settings};
-use granitelead_list::forms::HostList;
-use granitelead_list::sources::FURTHER_MAX;
+use granitelead_list::messages::HostList;
+use granitelead_list::sources::FURTHER_SOURCES_MAX;
 use serde::Deserialize;
 use std::io;
 use std::net::SocketAddr;
@@ -321,8 +321,8 @@
 
 /// All addresses of the list, each once.
 fn discovery(first: Option<String>, more: Vec<String>) -> Result<Vec<SocketAddr>, ConfigError> {
-    if more.len() > FURTHER_MAX {
-        return Err(ConfigFault::TooManyAddresses(FURTHER_MAX).of("discovery_more"));
+    if more.len() > FURTHER_SOURCES_MAX {
+        return Err(ConfigFault::TooManyAddresses(FURTHER_SOURCES_MAX).of("discovery_more"));
     }
     let mut places = vec![address("discovery", first)?];
     for at in more {
--- a/crates/gatekeeper/src/counter.rs
+++ b/crates/gatekeeper/src/counter.rs
@@ -1,7 +1,7 @@
 //! The connection to the counter: calls written one behind another, answers taken in their order.
 
 use bytes::BytesMut;
-use granitelead_base::{note, Backoff};
+use granitelead_base::{log_throttled, Backoff};
 use granitelead_decisions::{CounterName, CounterOutcome, Event, Micros};
 use redis_protocol::resp2::decode::decode_bytes_mut;
 use redis_protocol::resp2::types::BytesFrame;
@@ -139,7 +139,7 @@
                 let (reader, writer) = stream.into_split();
                 *self.conn.borrow_mut() = Some(writer);
                 if let Err(what) = self.read(caller, reader, &mut served).await {
-                    note(&self.odd, format_args!("counter: {what}"));
+                    log_throttled(&self.odd, format_args!("counter: {what}"));
                 }
                 self.hang_up(caller);
             }
--- a/crates/gatekeeper/src/driver.rs
+++ b/crates/gatekeeper/src/driver.rs
@@ -11,7 +11,7 @@
     Action, AttemptDone, ClassId, CustomerId, Event, Gatekeeper, Handover, Micros, Outcome, PlanId,
 };
 use granitelead_decisions::{Request, RequestId, ServerId};
-use granitelead_list::follower::Listing;
+use granitelead_list::follower::ListStatus;
 use hyper::header::HeaderValue;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -105,7 +105,7 @@
     /// The counter's side.
     pub counter: Counter,
     /// Where the list of servers stands.
-    pub listing: Rc<Listing>,
+    pub listing: Rc<ListStatus>,
     /// What has become of all requests.
     pub telemetry: Rc<Telemetry>,
     /// Room for bodies that are held.
@@ -129,7 +129,7 @@
         let room = Room::new(config.held_max);
         Rc::new(Driver {
             servers: Servers::new(config, telemetry.calls(), room.clone()),
-            listing: Listing::new(),
+            listing: ListStatus::new(),
             telemetry,
             room,
             says: config.events,
--- a/crates/gatekeeper/src/lifecycle/handover.rs
+++ b/crates/gatekeeper/src/lifecycle/handover.rs
@@ -5,7 +5,7 @@
 use crate::driver::Driver;
 use crate::list::Book;
 use crate::operators::by_hand::ByHand;
-use granitelead_base::note;
+use granitelead_base::log_throttled;
 use granitelead_decisions::{Handover, ServerId};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -222,7 +222,7 @@
                 Err(e) => Err(e),
             };
             if let Err(e) = handed {
-                note(&self.odd, format_args!("not handed over: {e}"));
+                log_throttled(&self.odd, format_args!("not handed over: {e}"));
                 tokio::time::sleep(TELL).await;
             }
         }
--- a/crates/gatekeeper/src/lifecycle/run.rs
+++ b/crates/gatekeeper/src/lifecycle/run.rs
@@ -12,7 +12,7 @@
 use crate::times;
 use granitelead_base as base;
 use granitelead_decisions::ListScope;
-use granitelead_list::follower::{Follower, Pace};
+use granitelead_list::follower::{Follower, RequestTiming};
 use granitelead_list::sources::Sources;
 use std::cell::Cell;
 use std::io;
@@ -141,9 +141,13 @@
         // The list of before serves well enough until discovery answers, which may take long.
         side.set_ready();
     }
-    let pace = if config.settings.subscribe { Pace::shared } else { Pace::own };
+    let pace = if config.settings.subscribe {
+        RequestTiming::for_shared_service
+    } else {
+        RequestTiming::for_local_agent
+    };
     let pace = pace(config.settings.instances, config.ask_within, config.seed)
-        .comparing_after(config.discovery_compare);
+        .with_compare_interval(config.discovery_compare);
     let sources = Sources::new(config.discovery.clone(), &config.known);
     let follower = Follower::new(sources, pace, driver.listing.clone());
     let (driver, side, ready) = (driver.clone(), side.clone(), Cell::new(false));
--- a/crates/gatekeeper/src/list.rs
+++ b/crates/gatekeeper/src/list.rs
@@ -1,11 +1,11 @@
 //! The book of who is where, brought up to the list of servers.
 
 use crate::driver::Driver;
-use granitelead_base::note;
+use granitelead_base::log_throttled;
 use granitelead_decisions::hash;
 use granitelead_decisions::{Availability, Event, ListScope, ServerId, ServerInfo, ServerList, Zone};
 use granitelead_list::follower::Follower;
-use granitelead_list::forms::{HostList, Target};
+use granitelead_list::messages::{HostList, Target};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -76,7 +76,10 @@
             }
             parsed => {
                 if parsed.is_err() && availability != Availability::Gone {
-                    note(&self.odd, format_args!("discovery: server {:?} has no address", target.uid));
+                    log_throttled(
+                        &self.odd,
+                        format_args!("discovery: server {:?} has no address", target.uid),
+                    );
                 }
                 availability = Availability::Gone;
                 driver.servers.unlist(id);
--- a/crates/gatekeeper/src/operators/by_hand.rs
+++ b/crates/gatekeeper/src/operators/by_hand.rs
@@ -4,7 +4,7 @@
 use crate::driver::Driver;
 use crate::events::Own;
 use crate::list::Book;
-use granitelead_base::note;
+use granitelead_base::log_throttled;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::io;
@@ -47,7 +47,7 @@
             self.driver.says.says(&Own::ByHand { server: uid, out });
             eprintln!("granitelead: {uid} {}", if out { "left out" } else { "put back" });
             if let Err(e) = self.keep() {
-                note(&self.odd, format_args!("left out until this process ends only: {e}"));
+                log_throttled(&self.odd, format_args!("left out until this process ends only: {e}"));
             }
         }
         true
@@ -71,7 +71,7 @@
                 kept.difference(&names).for_each(|uid| self.driver.by_hand(self.book.id(uid), true));
             }
             Err(e) if e.kind() == io::ErrorKind::NotFound => {}
-            Err(e) => note(&self.odd, format_args!("{}: {e}", place.display())),
+            Err(e) => log_throttled(&self.odd, format_args!("{}: {e}", place.display())),
         }
     }
 }
--- a/crates/gatekeeper/src/operators/door.rs
+++ b/crates/gatekeeper/src/operators/door.rs
@@ -5,7 +5,7 @@
 use crate::events::Own;
 use crate::operators::by_hand::ByHand;
 use crate::peers::Peers;
-use granitelead_base::{note, ACCEPT_PAUSE};
+use granitelead_base::{log_throttled, ACCEPT_PAUSE};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -69,7 +69,7 @@
             match listener.accept().await {
                 Ok((stream, _)) => self.admit(stream),
                 Err(e) => {
-                    note(&self.odd, format_args!("operators' door: {e}"));
+                    log_throttled(&self.odd, format_args!("operators' door: {e}"));
                     self.side.shed();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
--- a/crates/gatekeeper/src/servers/side.rs
+++ b/crates/gatekeeper/src/servers/side.rs
@@ -4,8 +4,8 @@
 use crate::config::Config;
 use crate::servers::dials::{Ask, Dialed, Dials};
 use crate::times::{FLOW_STALL, SERVER_ACK};
-use granitelead_base::wire::{Place, Wire, WireIo};
-use granitelead_base::{decimal, note};
+use granitelead_base::connection::{ConnectionHandle, ConnectionIo, Slot};
+use granitelead_base::{log_throttled, parse_positive_decimal};
 use granitelead_decisions::{Outcome, ServerId};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -95,7 +95,7 @@
 /// How far an attempt has come, for those who may call it off.
 #[derive(Default)]
 pub struct Progress {
-    wire: RefCell<Option<(Rc<Wire>, Sent)>>,
+    wire: RefCell<Option<(Rc<ConnectionHandle>, Sent)>>,
 }
 
 /// What tells whether a request has been written whole.
@@ -119,7 +119,7 @@
             Some((wire, sent)) => {
                 wire.close();
                 match sent {
-                    Sent::Least(least) => wire.written() >= least,
+                    Sent::Least(least) => wire.bytes_written() >= least,
                     Sent::Upload(upload) => upload.ended().is_some(),
                 }
             }
@@ -127,12 +127,12 @@
     }
 
     /// From here on the request may be written.
-    fn begin(&self, wire: &Rc<Wire>, parts: &Parts) {
+    fn begin(&self, wire: &Rc<ConnectionHandle>, parts: &Parts) {
         let sent = match parts.upload() {
             Some(upload) => Sent::Upload(upload.clone()),
             None => {
-                let least = wire.written() + 1 + parts.body.held.len() as u64;
-                wire.expect(least);
+                let least = wire.bytes_written() + 1 + parts.body.held.len() as u64;
+                wire.expect_request_end(least);
                 Sent::Least(least)
             }
         };
@@ -143,13 +143,13 @@
 /// A connection between two requests.
 struct Conn {
     sender: SendRequest<Outgoing>,
-    wire: Rc<Wire>,
+    wire: Rc<ConnectionHandle>,
     idle_since: Instant,
     used: bool,
     /// How long the server may leave data unacknowledged.
     ack: Duration,
     /// Its place among those to its server.
-    _place: Place,
+    _place: Slot,
 }
 
 impl Drop for Conn {
@@ -381,7 +381,7 @@
                 return self.judge(answer, conn);
             }
             let (used, whole) = (conn.used, progress.give_up());
-            if conn.wire.is_silent() {
+            if conn.wire.has_timed_out() {
                 // The others lead to the same machine.
                 self.pools.borrow_mut().entry(server).and_modify(|pool| pool.idle.clear());
             }
@@ -391,7 +391,7 @@
                 Some(Err(_)) if used && !whole && !parts.is_spent() => continue,
                 _ if !whole => return Outcome::ConnectFailed.into(),
                 Some(Err(Broken::TooLong)) => {
-                    note(&self.odd, format_args!("server {}: answer too large", server.0));
+                    log_throttled(&self.odd, format_args!("server {}: answer too large", server.0));
                     return Outcome::Error.into();
                 }
                 Some(_) => return Outcome::Reset.into(),
@@ -494,7 +494,7 @@
     /// Opens a connection for whoever waits the longest by then.
     fn begin_one(self: &Rc<Self>, server: ServerId) {
         let place =
-            self.pools.borrow().get(&server).and_then(|pool| Place::take(&pool.open, self.per_server));
+            self.pools.borrow().get(&server).and_then(|pool| Slot::acquire(&pool.open, self.per_server));
         let this = self.clone();
         tokio::task::spawn_local(async move {
             let opened = this.dial(server, place).await;
@@ -530,16 +530,16 @@
         self.pools.borrow().get(&server).is_some_and(|pool| pool.open.get() < self.per_server)
     }
 
-    async fn dial(&self, server: ServerId, to_it: Option<Place>) -> Result<Conn, Undone> {
+    async fn dial(&self, server: ServerId, to_it: Option<Slot>) -> Result<Conn, Undone> {
         let (addr, boot_ms) = {
             let pools = self.pools.borrow();
             let pool = pools.get(&server).ok_or(Undone::NoRoom)?;
             (pool.addr, pool.boot_ms)
         };
         let to_it = to_it.ok_or(Undone::NoRoom)?;
-        let place = Place::take(&self.open, self.most.get()).or_else(|| {
+        let place = Slot::acquire(&self.open, self.most.get()).or_else(|| {
             self.close_an_idle_one();
-            Place::take(&self.open, self.most.get())
+            Slot::acquire(&self.open, self.most.get())
         });
         let place = place.ok_or(Undone::NoRoom)?;
         let connected = timeout(self.connect_timeout, TcpStream::connect(addr)).await;
@@ -550,15 +550,15 @@
             return Err(Undone::NoRoom);
         }
         let _ = stream.set_nodelay(true);
-        let wire = Wire::counting(stream, place, self.calls.clone());
-        let io = TokioIo::new(WireIo(wire.clone()));
+        let wire = ConnectionHandle::with_request_counter(stream, place, self.calls.clone());
+        let io = TokioIo::new(ConnectionIo(wire.clone()));
         let built = http1::Builder::new().max_buf_size(BUFFER_MAX).handshake(io).await;
         let (sender, driver) = built.map_err(|_| Undone::Failed)?;
         let task = tokio::task::spawn_local(async move {
             // How it ends is told to the attempt that it carries.
             let _ = driver.await;
         });
-        wire.driven_by(task.abort_handle());
+        wire.set_driver(task.abort_handle());
         let (idle_since, ack) = (Instant::now(), Duration::ZERO);
         Ok(Conn { sender, wire, idle_since, used: false, ack, _place: to_it })
     }
@@ -583,7 +583,10 @@
         };
         let good = outcome == Outcome::Ok;
         let served = good.then(|| Served { body, content_type: headers.get(CONTENT_TYPE).cloned() });
-        let true_units = headers.get("x-cost-units").filter(|_| good).and_then(|v| decimal(v.to_str().ok()?));
+        let true_units = headers
+            .get("x-cost-units")
+            .filter(|_| good)
+            .and_then(|v| parse_positive_decimal(v.to_str().ok()?));
         Attempted { outcome, true_units, served, conn: Some(conn) }
     }
 }
--- a/crates/lab/src/hollow/gatekeepers.rs
+++ b/crates/lab/src/hollow/gatekeepers.rs
@@ -123,7 +123,7 @@
             Ok(stream) => stream,
             Err(ended) => {
                 log::info!("{ip}: {ended}");
-                let wait = self.backoff.borrow_mut().draw();
+                let wait = self.backoff.borrow_mut().next_wait();
                 tokio::time::sleep(wait).await;
                 self.busy.borrow_mut().remove(&ip);
                 return;
--- a/crates/lab/src/loopback/double.rs
+++ b/crates/lab/src/loopback/double.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use granitelead_base as base;
 use granitelead_gatekeeper::config::Config;
-use granitelead_list::follower::{Follower, Listing, Pace};
-use granitelead_list::forms::Target;
+use granitelead_list::follower::{Follower, ListStatus, RequestTiming};
+use granitelead_list::messages::Target;
 use granitelead_list::sources::Sources;
 use http_body_util::{BodyExt, Empty, Full};
 use hyper::body::Incoming;
@@ -104,8 +104,9 @@
     let (begun, targets, turn) = (Instant::now(), RefCell::default(), Cell::new(0));
     let it = Rc::new(Double { wrong, begun, targets, turn });
     let hears = it.clone();
-    let pace = Pace::shared(1, Duration::from_secs(2), config.seed);
-    let follower = Follower::new(Sources::new(config.discovery.clone(), &config.known), pace, Listing::new());
+    let pace = RequestTiming::for_shared_service(1, Duration::from_secs(2), config.seed);
+    let follower =
+        Follower::new(Sources::new(config.discovery.clone(), &config.known), pace, ListStatus::new());
     spawn_local(async move {
         let (_moves, places) = watch::channel(config.discovery);
         let follows = follower.follow(places, |list, _| hears.hears(list.all, &list.targets));
--- a/crates/lab/src/loopback/fleet.rs
+++ b/crates/lab/src/loopback/fleet.rs
@@ -14,7 +14,7 @@
 use crate::judge::{judge, Terms, Verdict};
 use crate::results::{Gatherer, Mark, ProcessRow, Run, ServerRow};
 use bytes::Bytes;
-use granitelead_list::forms::{Leased, OnLease, Register, Revision, REVISION};
+use granitelead_list::messages::{LeaseRequest, LeaseResponse, RegisterRequest, Revision, REVISION_PATH};
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::handshake;
 use hyper::{Request, StatusCode};
@@ -327,7 +327,7 @@
     }
 
     async fn revision(&self) -> Option<Revision> {
-        call(self.lists_at[0], REVISION, None).await
+        call(self.lists_at[0], REVISION_PATH, None).await
     }
 
     /// Something that goes on until the fleet ends.
@@ -434,7 +434,7 @@
                     None => None,
                 };
                 if renewed.is_none() {
-                    let form = Register {
+                    let form = RegisterRequest {
                         uid: server.uid.clone(),
                         endpoint: endpoint.to_string(),
                         az: server.zone.clone(),
@@ -444,7 +444,8 @@
                         boot_ms,
                         ttl_ms: LEASE.0.as_millis() as u64,
                     };
-                    let leased: Option<Leased> = self.call_list(listed, "/discovery/register", &form).await;
+                    let leased: Option<LeaseResponse> =
+                        self.call_list(listed, "/discovery/register", &form).await;
                     listed.lease.set(leased.map(|leased| leased.lease).or(listed.lease.get()));
                 }
             }
@@ -463,8 +464,8 @@
     }
 
     /// A call of a server on its lease.
-    pub(super) async fn on_lease(&self, listed: &Listed, path: &str) -> Option<Leased> {
-        let form = OnLease { uid: listed.server.uid.clone(), lease: listed.lease.get()? };
+    pub(super) async fn on_lease(&self, listed: &Listed, path: &str) -> Option<LeaseResponse> {
+        let form = LeaseRequest { uid: listed.server.uid.clone(), lease: listed.lease.get()? };
         self.call_list(listed, path, &form).await
     }
 
--- a/crates/lab/src/loopback/links.rs
+++ b/crates/lab/src/loopback/links.rs
@@ -6,7 +6,7 @@
 //! the place of the one that was registered: both have the same length.
 
 use super::FleetError;
-use granitelead_list::forms::HostList;
+use granitelead_list::messages::HostList;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cell::{Cell, RefCell};
--- a/crates/list-service/src/change_feed.rs
+++ b/crates/list-service/src/change_feed.rs
@@ -1,7 +1,7 @@
 //! The published list and a bounded history of its changes, which all watchers share. Performs no I/O.
 
 use bytes::Bytes;
-use granitelead_list::forms::{HostList, Revision, Target};
+use granitelead_list::messages::{HostList, Revision, Target};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 /// Number of changes kept for watchers that reconnect.
@@ -188,7 +188,7 @@
     use super::*;
     use crate::registry::tests::{call, UNIX};
     use crate::registry::{Record, Registry};
-    use granitelead_list::forms::{OnLease, Register};
+    use granitelead_list::messages::{LeaseRequest, RegisterRequest};
 
     /// The list as received by one watcher.
     #[derive(Default)]
@@ -233,17 +233,17 @@
     fn random_request(
         rng: &mut fastrand::Rng,
         registry: &mut Registry,
-        leases: &mut Vec<OnLease>,
+        leases: &mut Vec<LeaseRequest>,
     ) -> Vec<Record> {
         let uid = format!("s{}", rng.u32(..12));
         let held = leases.iter().position(|lease| lease.uid == uid);
         let result = match (rng.u32(..4), held) {
             (0 | 1, _) | (_, None) => {
                 let boot_ms = registry.counters().0 * u64::from(rng.bool());
-                let call = Register { capacity_hint: f64::from(rng.u32(1..3)), ..call(&uid, boot_ms) };
+                let call = RegisterRequest { capacity_hint: f64::from(rng.u32(1..3)), ..call(&uid, boot_ms) };
                 registry.register(0, UNIX, call).map(|(grant, record)| {
                     leases.retain(|lease| lease.uid != uid);
-                    leases.push(OnLease { uid, lease: grant.lease });
+                    leases.push(LeaseRequest { uid, lease: grant.lease });
                     record
                 })
             }
--- a/crates/list-service/src/http.rs
+++ b/crates/list-service/src/http.rs
@@ -5,9 +5,9 @@
 use crate::registry::RegistryError;
 use crate::service::{increment, Service, ServiceError};
 use bytes::Bytes;
-use granitelead_base::wire::Place;
-use granitelead_base::{note, ACCEPT_PAUSE};
-use granitelead_list::forms::{Refused, HOSTS, OVERLOADED, REVISION};
+use granitelead_base::connection::Slot;
+use granitelead_base::{log_throttled, ACCEPT_PAUSE};
+use granitelead_list::messages::{ErrorResponse, HOSTS_PATH, OVERLOADED, REVISION_PATH};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Frame, Incoming};
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE, RETRY_AFTER};
@@ -65,7 +65,7 @@
     tasks: RefCell<HashMap<u64, AbortHandle>>,
     watches_max: usize,
     rejections: Rc<Cell<usize>>,
-    /// Number of failures logged, see [`note`].
+    /// Number of failures logged, see [`log_throttled`].
     event_count: Cell<u64>,
 }
 
@@ -90,7 +90,7 @@
             match listener.accept().await {
                 Ok((stream, _)) => self.admit(stream),
                 Err(e) => {
-                    note(&self.event_count, format_args!("can't accept a connection: {e}"));
+                    log_throttled(&self.event_count, format_args!("can't accept a connection: {e}"));
                     sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -132,8 +132,8 @@
 
     /// Refuses a connection because all others are busy: responds at once, without reading the request.
     fn reject(&self, mut stream: TcpStream) {
-        note(&self.event_count, "refused a connection: all connections are busy");
-        let Some(slot) = Place::take(&self.rejections, REJECTIONS_MAX) else { return };
+        log_throttled(&self.event_count, "refused a connection: all connections are busy");
+        let Some(slot) = Slot::acquire(&self.rejections, REJECTIONS_MAX) else { return };
         tokio::task::spawn_local(async move {
             let response = async {
                 stream.write_all(REJECTION_RESPONSE).await?;
@@ -163,7 +163,7 @@
         let service = &self.service;
         let path = request.uri().path();
         let allowed = match path {
-            HOSTS | REVISION | "/discovery/figures" => Method::GET,
+            HOSTS_PATH | REVISION_PATH | "/discovery/figures" => Method::GET,
             "/discovery/register" | "/discovery/renew" | "/discovery/drain" | "/discovery/deregister" => {
                 Method::POST
             }
@@ -173,8 +173,8 @@
             return Err(ApiError::MethodNotAllowed(allowed));
         }
         match path {
-            HOSTS => self.hosts(request.uri().query().unwrap_or_default()),
-            REVISION => {
+            HOSTS_PATH => self.hosts(request.uri().query().unwrap_or_default()),
+            REVISION_PATH => {
                 service.check_serving()?;
                 Ok(json_response(StatusCode::OK, &service.revision()))
             }
@@ -202,7 +202,7 @@
         service.check_serving()?;
         let accepts_lists = self.connections.borrow().accepts_list_requests();
         let take_slot = |in_use: &Rc<Cell<usize>>, limit| {
-            let slot = Place::take(in_use, limit).filter(|_| accepts_lists);
+            let slot = Slot::acquire(in_use, limit).filter(|_| accepts_lists);
             slot.ok_or_else(|| {
                 increment(&service.counts.lists_refused);
                 ApiError::Overloaded
@@ -353,7 +353,7 @@
                 (StatusCode::SERVICE_UNAVAILABLE, "no_list", "no list received yet".to_owned())
             }
         };
-        let mut response = json_response(status, &Refused { error: error.to_owned(), what });
+        let mut response = json_response(status, &ErrorResponse { error: error.to_owned(), what });
         if status == StatusCode::SERVICE_UNAVAILABLE {
             response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
         }
@@ -431,7 +431,7 @@
 /// Body of a response, with the guards that are released when it has been written.
 struct ResponseBody {
     content: BodyContent,
-    slot: Option<Place>,
+    slot: Option<Slot>,
     busy_guard: Option<BusyGuard>,
 }
 
--- a/crates/list-service/src/lib.rs
+++ b/crates/list-service/src/lib.rs
@@ -9,8 +9,8 @@
 mod store;
 
 use change_feed::Position;
-use granitelead_list::follower::{Follower, Listing, Pace};
-use granitelead_list::forms::HostList;
+use granitelead_list::follower::{Follower, ListStatus, RequestTiming};
+use granitelead_list::messages::HostList;
 use granitelead_list::sources::Sources;
 use http::HttpServer;
 use lexopt::{Arg, Parser, ValueExt};
@@ -228,11 +228,12 @@
 
 /// Starts a mirror of the list service at `address`.
 fn mirror(address: SocketAddr) -> Rc<Service> {
-    let listing = Listing::new();
-    let service = Service::mirror(listing.clone());
+    let status = ListStatus::new();
+    let service = Service::mirror(status.clone());
     let seed = unix_ms() ^ u64::from(std::process::id()) << 32;
     let sources = Sources::new(vec![address], &HostList::default());
-    let follower = Follower::new(sources, Pace::shared(1, MIRROR_REQUEST_WINDOW, seed), listing);
+    let follower =
+        Follower::new(sources, RequestTiming::for_shared_service(1, MIRROR_REQUEST_WINDOW, seed), status);
     let mirrored = service.clone();
     spawn_local(async move {
         // The address of the source doesn't change; the sender is kept as long as the follower runs.
--- a/crates/list-service/src/registry.rs
+++ b/crates/list-service/src/registry.rs
@@ -1,7 +1,7 @@
 //! The leases of the registered servers and their expiry. Performs no I/O; the caller passes the time in, in
 //! ms of a monotonic clock.
 
-use granitelead_list::forms::{Leased, OnLease, Register, Target};
+use granitelead_list::messages::{LeaseRequest, LeaseResponse, RegisterRequest, Target};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -88,9 +88,9 @@
         now > self.renewed + self.ttl_ms / 2
     }
 
-    fn grant(&self) -> Leased {
+    fn grant(&self) -> LeaseResponse {
         let (ttl_ms, renew_ms) = (self.ttl_ms, self.ttl_ms / RENEWALS_PER_TTL);
-        Leased { lease: self.number, rev: self.rev, ttl_ms, renew_ms }
+        LeaseResponse { lease: self.number, rev: self.rev, ttl_ms, renew_ms }
     }
 }
 
@@ -183,8 +183,8 @@
         &mut self,
         now: u64,
         unix_ms: u64,
-        call: Register,
-    ) -> Result<(Leased, Option<Record>), RegistryError> {
+        call: RegisterRequest,
+    ) -> Result<(LeaseResponse, Option<Record>), RegistryError> {
         validate(&call, unix_ms)?;
         let mut target = Target {
             uid: call.uid,
@@ -226,14 +226,18 @@
     }
 
     /// Renews a lease.
-    pub fn renew(&mut self, now: u64, call: &OnLease) -> Result<Leased, RegistryError> {
+    pub fn renew(&mut self, now: u64, call: &LeaseRequest) -> Result<LeaseResponse, RegistryError> {
         let lease = self.find(call)?.ok_or(RegistryError::UnknownLease)?;
         lease.renewed = now;
         Ok(lease.grant())
     }
 
     /// Marks a server as draining: it finishes its requests and accepts no new ones.
-    pub fn drain(&mut self, now: u64, call: &OnLease) -> Result<(Leased, Option<Record>), RegistryError> {
+    pub fn drain(
+        &mut self,
+        now: u64,
+        call: &LeaseRequest,
+    ) -> Result<(LeaseResponse, Option<Record>), RegistryError> {
         let next_rev = self.next_rev();
         let lease = self.find(call)?.ok_or(RegistryError::UnknownLease)?;
         lease.renewed = now;
@@ -248,13 +252,16 @@
     }
 
     /// Removes a server. The request succeeds as well if the server is not registered.
-    pub fn deregister(&mut self, call: &OnLease) -> Result<(Leased, Option<Record>), RegistryError> {
+    pub fn deregister(
+        &mut self,
+        call: &LeaseRequest,
+    ) -> Result<(LeaseResponse, Option<Record>), RegistryError> {
         let removed = self.find(call)?.is_some().then(|| self.remove(&call.uid)).flatten();
-        Ok((Leased { lease: call.lease, rev: self.rev, ttl_ms: 0, renew_ms: 0 }, removed))
+        Ok((LeaseResponse { lease: call.lease, rev: self.rev, ttl_ms: 0, renew_ms: 0 }, removed))
     }
 
     /// The lease that a request names; none if the server holds no lease.
-    fn find(&mut self, call: &OnLease) -> Result<Option<&mut Lease>, RegistryError> {
+    fn find(&mut self, call: &LeaseRequest) -> Result<Option<&mut Lease>, RegistryError> {
         match self.leases.get_mut(&call.uid) {
             Some(lease) if lease.number != call.lease => Err(RegistryError::Superseded),
             held => Ok(held),
@@ -328,7 +335,7 @@
     Record { rev: lease.rev, lease: lease.number, ttl_ms: lease.ttl_ms, target: lease.target.clone() }
 }
 
-fn validate(call: &Register, unix_ms: u64) -> Result<(), RegistryError> {
+fn validate(call: &RegisterRequest, unix_ms: u64) -> Result<(), RegistryError> {
     let is_name = |text: &str| text.bytes().all(|b| b.is_ascii_alphanumeric() || b"-._:/@+".contains(&b));
     let checks = [
         ("uid", (1..=UID_MAX).contains(&call.uid.len()) && is_name(&call.uid)),
@@ -354,14 +361,14 @@
     const TTL: u64 = 10_000;
     const GUARD: u64 = 60_000;
 
-    pub fn call(uid: &str, boot_ms: u64) -> Register {
+    pub fn call(uid: &str, boot_ms: u64) -> RegisterRequest {
         let text =
             format!(r#"{{"uid":"{uid}","endpoint":"127.0.0.1:3000","boot_ms":{boot_ms},"ttl_ms":{TTL}}}"#);
         serde_json::from_str(&text).unwrap()
     }
 
-    fn on(uid: &str, lease: u64) -> OnLease {
-        OnLease { uid: uid.into(), lease }
+    fn on(uid: &str, lease: u64) -> LeaseRequest {
+        LeaseRequest { uid: uid.into(), lease }
     }
 
     fn new_registry() -> Registry {
@@ -369,7 +376,7 @@
     }
 
     /// A registry with `n` servers, all registered at time 0.
-    fn fleet(n: usize) -> (Registry, Vec<OnLease>) {
+    fn fleet(n: usize) -> (Registry, Vec<LeaseRequest>) {
         let mut registry = new_registry();
         let leases = (0..n).map(|i| {
             let uid = format!("s{i}");
@@ -384,7 +391,12 @@
 
     /// Lets time pass while the servers in `alive` renew their leases after each third of the time to live.
     /// Returns the expired servers and the events, each with its time.
-    fn run(registry: &mut Registry, from: u64, to: u64, alive: &[OnLease]) -> (Expired, Vec<(u64, Event)>) {
+    fn run(
+        registry: &mut Registry,
+        from: u64,
+        to: u64,
+        alive: &[LeaseRequest],
+    ) -> (Expired, Vec<(u64, Event)>) {
         let (mut expired, mut events) = (Vec::new(), Vec::new());
         for now in (from..to).step_by(100) {
             if now % (TTL / 3) < 100 {
@@ -422,7 +434,7 @@
     fn a_restart_or_a_new_address_is_one_change_that_the_former_process_cannot_undo() {
         let mut registry = new_registry();
         let old = registry.register(0, UNIX, call("a", 5)).unwrap().0;
-        let moved = Register { endpoint: "127.0.0.1:3001".into(), ..call("a", 5) };
+        let moved = RegisterRequest { endpoint: "127.0.0.1:3001".into(), ..call("a", 5) };
         for (rev, call) in [(2, moved), (3, call("a", 6))] {
             let (new, record) = registry.register(1, UNIX, call).unwrap();
             let record = record.unwrap();
@@ -440,21 +452,21 @@
     fn invalid_fields_are_refused_and_change_nothing() {
         let long = |n: usize| "x".repeat(n);
         let bad = [
-            ("uid", Register { uid: "".into(), ..call("a", 0) }),
-            ("uid", Register { uid: "a b".into(), ..call("a", 0) }),
-            ("uid", Register { uid: "a\"".into(), ..call("a", 0) }),
-            ("uid", Register { uid: long(129), ..call("a", 0) }),
-            ("endpoint", Register { endpoint: "nowhere".into(), ..call("a", 0) }),
-            ("endpoint", Register { endpoint: "127.0.0.1:0".into(), ..call("a", 0) }),
-            ("az", Register { az: long(65), ..call("a", 0) }),
-            ("model", Register { model: "\n".into(), ..call("a", 0) }),
-            ("capacity_hint", Register { capacity_hint: -1.0, ..call("a", 0) }),
-            ("capacity_hint", Register { capacity_hint: f64::NAN, ..call("a", 0) }),
-            ("capacity_hint", Register { capacity_hint: 1e300, ..call("a", 0) }),
+            ("uid", RegisterRequest { uid: "".into(), ..call("a", 0) }),
+            ("uid", RegisterRequest { uid: "a b".into(), ..call("a", 0) }),
+            ("uid", RegisterRequest { uid: "a\"".into(), ..call("a", 0) }),
+            ("uid", RegisterRequest { uid: long(129), ..call("a", 0) }),
+            ("endpoint", RegisterRequest { endpoint: "nowhere".into(), ..call("a", 0) }),
+            ("endpoint", RegisterRequest { endpoint: "127.0.0.1:0".into(), ..call("a", 0) }),
+            ("az", RegisterRequest { az: long(65), ..call("a", 0) }),
+            ("model", RegisterRequest { model: "\n".into(), ..call("a", 0) }),
+            ("capacity_hint", RegisterRequest { capacity_hint: -1.0, ..call("a", 0) }),
+            ("capacity_hint", RegisterRequest { capacity_hint: f64::NAN, ..call("a", 0) }),
+            ("capacity_hint", RegisterRequest { capacity_hint: 1e300, ..call("a", 0) }),
             ("boot_ms", call("a", UNIX + CLOCK_SKEW_MAX_MS + 1)),
             ("boot_ms", call("a", u64::MAX)),
-            ("ttl_ms", Register { ttl_ms: 0, ..call("a", 0) }),
-            ("ttl_ms", Register { ttl_ms: u64::MAX, ..call("a", 0) }),
+            ("ttl_ms", RegisterRequest { ttl_ms: 0, ..call("a", 0) }),
+            ("ttl_ms", RegisterRequest { ttl_ms: u64::MAX, ..call("a", 0) }),
         ];
         for (field, call) in bad {
             let mut registry = new_registry();
@@ -475,7 +487,7 @@
     #[test]
     fn the_largest_full_list_fits_in_the_line_length_that_gatekeepers_accept() {
         let mut registry = new_registry();
-        let longest = Register {
+        let longest = RegisterRequest {
             uid: "x".repeat(UID_MAX),
             endpoint: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535".into(),
             az: "x".repeat(LABEL_MAX),
--- a/crates/list-service/src/service.rs
+++ b/crates/list-service/src/service.rs
@@ -5,10 +5,10 @@
 use crate::registry::{Event, Record, Registry, RegistryError};
 use crate::store::Store;
 use bytes::Bytes;
-use granitelead_base::note;
+use granitelead_base::log_throttled;
 use granitelead_decisions::ListScope;
-use granitelead_list::follower::Listing;
-use granitelead_list::forms::{HostList, Leased, OnLease, Register, Revision};
+use granitelead_list::follower::ListStatus;
+use granitelead_list::messages::{HostList, LeaseRequest, LeaseResponse, RegisterRequest, Revision};
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
 use std::rc::Rc;
@@ -77,7 +77,7 @@
     /// Servers register with this process.
     Leases(RefCell<Registry>),
     /// Another list service is mirrored.
-    Mirrored(Rc<Listing>),
+    Mirrored(Rc<ListStatus>),
 }
 
 /// Whether the data directory has turned out to be an older copy.
@@ -112,7 +112,7 @@
     unused_versions: (u64, u64),
     /// Counters for the figures.
     pub counts: Counts,
-    /// Number of failures logged, see [`note`].
+    /// Number of failures logged, see [`log_throttled`].
     event_count: Cell<u64>,
 }
 
@@ -135,10 +135,10 @@
         service
     }
 
-    /// A mirror of another list service, whose status is in `listing`.
-    pub fn mirror(listing: Rc<Listing>) -> Rc<Service> {
+    /// A mirror of another list service, whose status is in `status`.
+    pub fn mirror(status: Rc<ListStatus>) -> Rc<Service> {
         let feed = ChangeFeed::new(Position { epoch: 0, rev: 0 }, [], true, HISTORY_MAX);
-        Service::new(Source::Mirrored(listing), feed, Duration::ZERO, (0, 0))
+        Service::new(Source::Mirrored(status), feed, Duration::ZERO, (0, 0))
     }
 
     fn new(
@@ -177,7 +177,7 @@
     }
 
     /// Registers a server.
-    pub async fn register(&self, call: Register) -> Result<Leased, ServiceError> {
+    pub async fn register(&self, call: RegisterRequest) -> Result<LeaseResponse, ServiceError> {
         let registry = self.writable_registry()?;
         increment(&self.counts.registrations);
         let result = registry.borrow_mut().register(self.now(), unix_ms(), call)?;
@@ -185,19 +185,19 @@
     }
 
     /// Renews the lease of a server.
-    pub fn renew(&self, call: &OnLease) -> Result<Leased, ServiceError> {
+    pub fn renew(&self, call: &LeaseRequest) -> Result<LeaseResponse, ServiceError> {
         increment(&self.counts.renewals);
         Ok(self.registry()?.borrow_mut().renew(self.now(), call)?)
     }
 
     /// Marks a server as draining.
-    pub async fn drain(&self, call: &OnLease) -> Result<Leased, ServiceError> {
+    pub async fn drain(&self, call: &LeaseRequest) -> Result<LeaseResponse, ServiceError> {
         let result = self.writable_registry()?.borrow_mut().drain(self.now(), call)?;
         self.commit(result).await
     }
 
     /// Removes a server.
-    pub async fn deregister(&self, call: &OnLease) -> Result<Leased, ServiceError> {
+    pub async fn deregister(&self, call: &LeaseRequest) -> Result<LeaseResponse, ServiceError> {
         let result = self.writable_registry()?.borrow_mut().deregister(call)?;
         self.commit(result).await
     }
@@ -212,7 +212,10 @@
     }
 
     /// Waits until the change that a response confirms is on disk.
-    async fn commit(&self, (grant, record): (Leased, Option<Record>)) -> Result<Leased, ServiceError> {
+    async fn commit(
+        &self,
+        (grant, record): (LeaseResponse, Option<Record>),
+    ) -> Result<LeaseResponse, ServiceError> {
         self.enqueue(record);
         let mut published = self.published.subscribe();
         let on_disk = published.wait_for(|position| position.rev >= grant.rev);
@@ -242,8 +245,8 @@
         if self.data_state.get() == DataState::Current && self.registry().is_ok() {
             let ms = self.settle_time.as_millis();
             eprintln!(
-                "granitelead-discovery: the data directory is an older copy: version {} was published before, \
-                 this list is at {}; starting a new list, which is served in {ms} ms",
+                "granitelead-discovery: the data directory is an older copy: version {} was published \
+                 before, this list is at {}; starting a new list, which is served in {ms} ms",
                 position.rev, current.rev
             );
             self.serving_after.set(self.started.elapsed() + self.settle_time);
@@ -269,7 +272,7 @@
             store = returned_store;
             self.is_disk_failing.set(result.is_err());
             let Err(e) = result else { return Ok(store) };
-            note(&self.event_count, format_args!("{failure}: {e}"));
+            log_throttled(&self.event_count, format_args!("{failure}: {e}"));
             tokio::time::sleep(DISK_RETRY_INTERVAL).await;
         }
     }
@@ -346,7 +349,7 @@
     /// Publishes an update of the mirrored list.
     pub fn mirror_update(&self, list: &HostList, _: ListScope) {
         if list.epoch.is_none() {
-            return note(
+            return log_throttled(
                 &self.event_count,
                 "the mirrored source is not a list service: its list has no epoch",
             );
@@ -372,7 +375,7 @@
     fn stale_ms(&self) -> Option<u64> {
         match &self.source {
             Source::Leases(_) => None,
-            Source::Mirrored(listing) => Some(listing.age()).filter(|age| *age >= STALE_AFTER),
+            Source::Mirrored(status) => Some(status.age()).filter(|age| *age >= STALE_AFTER),
         }
         .map(|age| age.as_millis() as u64)
     }
--- a/crates/list-service/src/store.rs
+++ b/crates/list-service/src/store.rs
@@ -238,7 +238,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use granitelead_list::forms::Target;
+    use granitelead_list::messages::Target;
 
     /// A temporary directory, removed when dropped.
     struct TestDir(PathBuf);
--- a/crates/list/src/follower.rs
+++ b/crates/list/src/follower.rs
@@ -1,11 +1,11 @@
 //! Follows the server list: keeps a watch open on one source at a time and switches to the next one when it
 //! fails.
 
-use crate::forms::{HostList, Refused, Revision, HOSTS, OVERLOADED, REVISION};
+use crate::messages::{ErrorResponse, HostList, Revision, HOSTS_PATH, OVERLOADED, REVISION_PATH};
 use crate::sources::{SourceError, Sources, UpdateDecision};
 use bytes::{Bytes, BytesMut};
-use granitelead_base::wire::{Place, Wire, WireIo};
-use granitelead_base::{note, Backoff};
+use granitelead_base::connection::{ConnectionHandle, ConnectionIo, Slot};
+use granitelead_base::{log_throttled, Backoff};
 use granitelead_decisions::ListScope;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Incoming;
@@ -74,7 +74,7 @@
 }
 
 /// Timeouts and intervals of the requests for the list.
-pub struct Pace {
+pub struct RequestTiming {
     backoff: Backoff,
     /// Timeout for a response head.
     response_timeout: Duration,
@@ -85,18 +85,23 @@
     shared_parameters: (u32, Duration, u64),
 }
 
-impl Pace {
-    /// For a discovery agent that serves only this gatekeeper. Changes to [`Pace::shared`] when the source
-    /// turns out to be a service that all `gatekeepers` share, each of which has to make its request within
-    /// `within`. `seed` seeds the jitter.
-    pub fn own(gatekeepers: u32, within: Duration, seed: u64) -> Pace {
-        let pace = Pace::shared(gatekeepers, within, seed);
-        Pace { backoff: Backoff::new(seed), response_timeout: CONNECT_TIMEOUT, is_shared: false, ..pace }
+impl RequestTiming {
+    /// For a discovery agent that serves only this gatekeeper. Changes to
+    /// [`RequestTiming::for_shared_service`] when the source turns out to be a service that all `gatekeepers`
+    /// share, each of which has to make its request within `within`. `seed` seeds the jitter.
+    pub fn for_local_agent(gatekeepers: u32, within: Duration, seed: u64) -> RequestTiming {
+        let timing = RequestTiming::for_shared_service(gatekeepers, within, seed);
+        RequestTiming {
+            backoff: Backoff::new(seed),
+            response_timeout: CONNECT_TIMEOUT,
+            is_shared: false,
+            ..timing
+        }
     }
 
-    /// For a service that all `gatekeepers` share, see [`Pace::own`].
-    pub fn shared(gatekeepers: u32, within: Duration, seed: u64) -> Pace {
-        Pace {
+    /// For a service that all `gatekeepers` share, see [`RequestTiming::for_local_agent`].
+    pub fn for_shared_service(gatekeepers: u32, within: Duration, seed: u64) -> RequestTiming {
+        RequestTiming {
             backoff: Backoff::shared(gatekeepers, within, seed),
             response_timeout: CONNECT_TIMEOUT
                 .max((RESPONSE_TIME_PER_GATEKEEPER * gatekeepers).min(within / 2)),
@@ -111,15 +116,17 @@
     fn switch_to_shared(&mut self) {
         if !self.is_shared {
             let (gatekeepers, within, seed) = self.shared_parameters;
-            *self =
-                Pace { compare_interval: self.compare_interval, ..Pace::shared(gatekeepers, within, seed) };
+            *self = RequestTiming {
+                compare_interval: self.compare_interval,
+                ..RequestTiming::for_shared_service(gatekeepers, within, seed)
+            };
         }
     }
 
     /// Sets the minimum interval between comparisons with another source, if `interval` is given; the actual
     /// interval is drawn between one and two times this.
-    pub fn comparing_after(self, interval: Option<Duration>) -> Pace {
-        Pace { compare_interval: interval.unwrap_or(self.compare_interval), ..self }
+    pub fn with_compare_interval(self, interval: Option<Duration>) -> RequestTiming {
+        RequestTiming { compare_interval: interval.unwrap_or(self.compare_interval), ..self }
     }
 
     fn draw_next_compare(&mut self) -> Instant {
@@ -128,7 +135,7 @@
 }
 
 /// Status of the followed list, for metrics.
-pub struct Listing {
+pub struct ListStatus {
     /// Version of the list.
     pub rev: Cell<u64>,
     /// Epoch of the list; 0 if it has none.
@@ -138,11 +145,11 @@
     last_current: Cell<Instant>,
 }
 
-impl Listing {
+impl ListStatus {
     /// Status before any list has been received.
-    pub fn new() -> Rc<Listing> {
+    pub fn new() -> Rc<ListStatus> {
         let (rev, epoch, source) = (Cell::new(0), Cell::new(0), Cell::new(0));
-        Rc::new(Listing { rev, epoch, source, last_current: Cell::new(Instant::now()) })
+        Rc::new(ListStatus { rev, epoch, source, last_current: Cell::new(Instant::now()) })
     }
 
     /// Time since the list was last known to match that of its origin.
@@ -160,25 +167,25 @@
 /// Follows the list through a sequence of sources.
 pub struct Follower {
     sources: Sources,
-    pace: Pace,
-    listing: Rc<Listing>,
-    /// Number of failures logged, see [`note`].
+    timing: RequestTiming,
+    status: Rc<ListStatus>,
+    /// Number of failures logged, see [`log_throttled`].
     event_count: Cell<u64>,
 }
 
 impl Follower {
-    /// Starts with the first source and reports the status of the list in `listing`.
-    pub fn new(sources: Sources, pace: Pace, listing: Rc<Listing>) -> Follower {
-        listing.rev.set(sources.known().0);
-        let mut follower = Follower { sources, pace, listing, event_count: Cell::new(0) };
-        follower.adapt_pace();
+    /// Starts with the first source and reports the status of the list in `status`.
+    pub fn new(sources: Sources, timing: RequestTiming, status: Rc<ListStatus>) -> Follower {
+        status.rev.set(sources.known().0);
+        let mut follower = Follower { sources, timing, status, event_count: Cell::new(0) };
+        follower.adapt_timing();
         follower
     }
 
     /// Adapts the timeouts and intervals to the kind of source.
-    fn adapt_pace(&mut self) {
+    fn adapt_timing(&mut self) {
         if self.sources.are_shared() {
-            self.pace.switch_to_shared();
+            self.timing.switch_to_shared();
         }
     }
 
@@ -191,11 +198,11 @@
     ) {
         // The random wait spreads the first requests of gatekeepers that are started at the same time.
         tokio::select! {
-            () = self.pace.backoff.wait() => {}
+            () = self.timing.backoff.wait() => {}
             Ok(()) = addresses.changed() => self.replace_sources(&mut addresses),
         }
         loop {
-            self.pace.backoff.reset();
+            self.timing.backoff.reset();
             tokio::select! {
                 () = self.cycle_through_sources(&mut apply) => {}
                 Ok(()) = addresses.changed() => self.replace_sources(&mut addresses),
@@ -205,23 +212,23 @@
 
     fn replace_sources(&mut self, addresses: &mut watch::Receiver<Vec<SocketAddr>>) {
         self.sources.replace(addresses.borrow_and_update().clone());
-        self.adapt_pace();
+        self.adapt_timing();
     }
 
     async fn cycle_through_sources(&mut self, apply: &mut impl FnMut(&HostList, ListScope)) {
         loop {
             let before = self.sources.known();
             let (index, address) = self.sources.current();
-            self.listing.source.set(index);
+            self.status.source.set(index);
             if let Err(error) = self.watch_list(address, apply).await {
-                note(&self.event_count, format_args!("discovery: {address}: {error}"));
+                log_throttled(&self.event_count, format_args!("discovery: {address}: {error}"));
             }
             self.sources.advance();
-            self.adapt_pace();
+            self.adapt_timing();
             if self.sources.known() != before {
-                self.pace.backoff.reset();
+                self.timing.backoff.reset();
             }
-            self.pace.backoff.wait().await;
+            self.timing.backoff.wait().await;
         }
     }
 
@@ -233,7 +240,7 @@
         apply: &mut impl FnMut(&HostList, ListScope),
     ) -> Result<(), WatchError> {
         let mut connection = SourceConnection::connect(address).await?;
-        let response = connection.get(&self.sources.start_watch(), self.pace.response_timeout).await?;
+        let response = connection.get(&self.sources.start_watch(), self.timing.response_timeout).await?;
         match response.status() {
             StatusCode::OK => {}
             StatusCode::CONFLICT => return Err(self.sources.on_version_ahead().into()),
@@ -242,7 +249,7 @@
                     .collect()
                     .await
                     .map_err(WatchError::Body)?;
-                let refusal: Option<Refused> = serde_json::from_slice(&body.to_bytes()).ok();
+                let refusal: Option<ErrorResponse> = serde_json::from_slice(&body.to_bytes()).ok();
                 return match refusal.is_some_and(|refusal| refusal.error == OVERLOADED) {
                     true => self.read_once(connection, apply).await,
                     false => Err(WatchError::Status(StatusCode::SERVICE_UNAVAILABLE)),
@@ -252,14 +259,14 @@
         }
         let mut body = response.into_body();
         let mut buffer = BytesMut::new();
-        let mut next_compare = self.pace.draw_next_compare();
+        let mut next_compare = self.timing.draw_next_compare();
         let idle_deadline = Cell::new(Instant::now() + WATCH_IDLE_TIMEOUT);
         loop {
             let frame = tokio::select! {
                 frame = body.frame() => frame,
                 () = sleep_until(idle_deadline.get()) => return Err(WatchError::IdleTimeout),
                 () = sleep_until(next_compare) => {
-                    next_compare = self.pace.draw_next_compare();
+                    next_compare = self.timing.draw_next_compare();
                     self.compare().await?;
                     continue;
                 }
@@ -276,7 +283,7 @@
                     stale_ms = list.stale_ms;
                     self.handle_update(&list, apply).await?;
                 }
-                self.listing.record_contact(stale_ms);
+                self.status.record_contact(stale_ms);
                 self.sources.check_source(std::time::Instant::now(), stale_ms)?;
             }
             if buffer.len() > LINE_MAX {
@@ -292,11 +299,11 @@
         connection: SourceConnection,
         apply: &mut impl FnMut(&HostList, ListScope),
     ) -> Result<(), WatchError> {
-        let list: HostList = connection.read(HOSTS, self.pace.response_timeout).await?;
+        let list: HostList = connection.read(HOSTS_PATH, self.timing.response_timeout).await?;
         if (list.rev, list.epoch) != self.sources.known() {
             self.handle_update(&list, apply).await?;
         }
-        self.listing.record_contact(list.stale_ms);
+        self.status.record_contact(list.stale_ms);
         Ok(self.sources.check_source(std::time::Instant::now(), list.stale_ms)?)
     }
 
@@ -317,7 +324,7 @@
             UpdateDecision::Duplicate if list.targets.is_empty() => return Ok(()),
             UpdateDecision::Duplicate => {
                 let (known, _) = self.sources.known();
-                note(
+                log_throttled(
                     &self.event_count,
                     format_args!("discovery: ignored version {}, current version is {known}", list.rev),
                 );
@@ -327,17 +334,18 @@
         };
         apply(list, scope);
         let (rev, epoch) = self.sources.known();
-        self.listing.rev.set(rev);
-        self.listing.epoch.set(epoch.unwrap_or(0));
+        self.status.rev.set(rev);
+        self.status.epoch.set(epoch.unwrap_or(0));
         Ok(())
     }
 
     /// Verifies a nearly empty list with another source; returns whether that one shows it to be wrong.
     async fn is_refuted_by_other(&mut self, suspect: &HostList) -> bool {
-        let Some(address) = self.sources.pick_other(self.pace.rng.usize(..)) else { return false };
-        tokio::time::sleep(VERIFY_DELAY_MAX.mul_f64(self.pace.rng.f64())).await;
-        let request =
-            async { SourceConnection::connect(address).await?.read::<HostList>(HOSTS, VERIFY_TIMEOUT).await };
+        let Some(address) = self.sources.pick_other(self.timing.rng.usize(..)) else { return false };
+        tokio::time::sleep(VERIFY_DELAY_MAX.mul_f64(self.timing.rng.f64())).await;
+        let request = async {
+            SourceConnection::connect(address).await?.read::<HostList>(HOSTS_PATH, VERIFY_TIMEOUT).await
+        };
         match timeout(VERIFY_TIMEOUT, request).await {
             Ok(Ok(other)) => self.sources.refutes(&other, suspect),
             _ => false,
@@ -350,9 +358,9 @@
         if self.sources.known().1.is_none() {
             return Ok(());
         }
-        let Some(address) = self.sources.pick_other(self.pace.rng.usize(..)) else { return Ok(()) };
+        let Some(address) = self.sources.pick_other(self.timing.rng.usize(..)) else { return Ok(()) };
         let request = async {
-            SourceConnection::connect(address).await?.read::<Revision>(REVISION, VERIFY_TIMEOUT).await
+            SourceConnection::connect(address).await?.read::<Revision>(REVISION_PATH, VERIFY_TIMEOUT).await
         };
         // A failed request says nothing about the watched source.
         let Ok(Ok(other)) = timeout(VERIFY_TIMEOUT, request).await else { return Ok(()) };
@@ -362,7 +370,7 @@
 
 /// A connection to a source, closed when dropped.
 struct SourceConnection {
-    wire: Rc<Wire>,
+    wire: Rc<ConnectionHandle>,
     sender: SendRequest<Empty<Bytes>>,
 }
 
@@ -376,12 +384,12 @@
     async fn connect(address: SocketAddr) -> Result<SourceConnection, WatchError> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = stream.map_err(|_| WatchError::ConnectTimeout)??;
-        let slot = Place::take(&Rc::default(), 1).ok_or(WatchError::NoSlot)?;
-        let wire = Wire::new(stream, slot);
+        let slot = Slot::acquire(&Rc::default(), 1).ok_or(WatchError::NoSlot)?;
+        let wire = ConnectionHandle::new(stream, slot);
         let (sender, conn) =
-            hyper::client::conn::http1::handshake(TokioIo::new(WireIo(wire.clone()))).await?;
+            hyper::client::conn::http1::handshake(TokioIo::new(ConnectionIo(wire.clone()))).await?;
         let task = tokio::task::spawn_local(async move { drop(conn.await) });
-        wire.driven_by(task.abort_handle());
+        wire.set_driver(task.abort_handle());
         Ok(SourceConnection { wire, sender })
     }
 
@@ -409,12 +417,12 @@
     fn a_local_agent_is_contacted_at_once_and_a_shared_service_within_the_limit() {
         for seed in 0..300 {
             let within = Duration::from_secs(10);
-            let mut own = Pace::own(300, within, seed);
+            let mut own = RequestTiming::for_local_agent(300, within, seed);
             // An update of a local agent counts as delivered whether or not it was requested.
-            assert!(own.backoff.draw() <= Duration::from_millis(100));
+            assert!(own.backoff.next_wait() <= Duration::from_millis(100));
             assert!(own.response_timeout <= Duration::from_secs(1));
-            let mut shared = Pace::shared(300, within, seed);
-            assert!(shared.backoff.draw() + shared.response_timeout <= within);
+            let mut shared = RequestTiming::for_shared_service(300, within, seed);
+            assert!(shared.backoff.next_wait() + shared.response_timeout <= within);
             own.switch_to_shared();
             assert_eq!(own.response_timeout, shared.response_timeout);
         }
@@ -425,8 +433,8 @@
         let addresses = |n: u16| (1..=n).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
         let is_shared = |addresses, epoch| {
             let known = HostList { epoch, ..HostList::default() };
-            let pace = Pace::own(300, Duration::from_secs(10), 7);
-            Follower::new(Sources::new(addresses, &known), pace, Listing::new()).pace.is_shared
+            let timing = RequestTiming::for_local_agent(300, Duration::from_secs(10), 7);
+            Follower::new(Sources::new(addresses, &known), timing, ListStatus::new()).timing.is_shared
         };
         assert!(!is_shared(addresses(1), None), "the platform's own agent");
         assert!(is_shared(addresses(2), None));
--- a/crates/list/src/lib.rs
+++ b/crates/list/src/lib.rs
@@ -2,5 +2,5 @@
 //! list, and a follower that keeps a watch open.
 
 pub mod follower;
-pub mod forms;
+pub mod messages;
 pub mod sources;
--- a/crates/list/src/messages.rs
+++ b/crates/list/src/messages.rs
@@ -3,9 +3,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Path for reading and watching the list of servers.
-pub const HOSTS: &str = "/discovery/hosts";
+pub const HOSTS_PATH: &str = "/discovery/hosts";
 /// Path for reading the version of the list.
-pub const REVISION: &str = "/discovery/rev";
+pub const REVISION_PATH: &str = "/discovery/rev";
 
 /// The full list of servers, or a delta of it.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
@@ -85,7 +85,7 @@
 /// Request of a server to be listed.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Register {
+pub struct RegisterRequest {
     /// See [`Target::uid`].
     pub uid: String,
     /// See [`Target::endpoint`].
@@ -115,7 +115,7 @@
 /// Request of a server that holds a lease: to renew it, to drain, or to be removed from the list.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct OnLease {
+pub struct LeaseRequest {
     /// Name of the server.
     pub uid: String,
     /// Id of the lease.
@@ -124,7 +124,7 @@
 
 /// Response to a registration or a request on a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub struct Leased {
+pub struct LeaseResponse {
     /// Id of the lease.
     pub lease: u64,
     /// Version of the list that contains this state of the server, or a later one.
@@ -141,7 +141,7 @@
 
 /// Body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub struct Refused {
+pub struct ErrorResponse {
     /// Error code.
     pub error: String,
     /// Description of the error for people.
--- a/crates/list/src/sources.rs
+++ b/crates/list/src/sources.rs
@@ -1,7 +1,7 @@
 //! Chooses which source of the server list to watch and which of its updates to apply. Performs no I/O; the
 //! caller passes the time in.
 
-use crate::forms::{HostList, Revision, HOSTS};
+use crate::messages::{HostList, Revision, HOSTS_PATH};
 use granitelead_decisions::ListScope;
 use std::collections::{HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 /// Maximum number of sources in addition to the first one.
-pub const FURTHER_MAX: usize = 4;
+pub const FURTHER_SOURCES_MAX: usize = 4;
 /// Maximum number of former epochs that are remembered.
 const RETIRED_EPOCHS_MAX: usize = 16;
 /// A source that has had no contact with the origin of the list for this long is stale.
@@ -129,9 +129,9 @@
     pub fn start_watch(&mut self) -> String {
         (self.last_rev, self.is_alive, self.is_stale, self.catch_up) = (None, false, false, None);
         match self.epoch {
-            _ if self.request_full_list => format!("{HOSTS}?stream=1&index=0"),
-            Some(epoch) => format!("{HOSTS}?stream=1&index={}&epoch={epoch}", self.rev),
-            None => format!("{HOSTS}?stream=1&index={}", self.rev),
+            _ if self.request_full_list => format!("{HOSTS_PATH}?stream=1&index=0"),
+            Some(epoch) => format!("{HOSTS_PATH}?stream=1&index={}&epoch={epoch}", self.rev),
+            None => format!("{HOSTS_PATH}?stream=1&index={}", self.rev),
         }
     }
 
@@ -283,7 +283,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::forms::Target;
+    use crate::messages::Target;
 
     fn target(uid: &str, state: &str) -> Target {
         let text = format!(r#"{{"uid":"{uid}","endpoint":"127.0.0.1:1","state":"{state}"}}"#);
--- a/crates/marker/src/run.rs
+++ b/crates/marker/src/run.rs
@@ -196,7 +196,7 @@
             Ok(stream) => stream,
             Err(ended) => {
                 log::info!("{ip}: {ended}");
-                tokio::time::sleep(backoff.draw().min(REDIAL)).await;
+                tokio::time::sleep(backoff.next_wait().min(REDIAL)).await;
                 continue;
             }
         };
@@ -207,7 +207,7 @@
         let ended = connection::run(stream, sender, NEVER, |_| {}).await;
         log::info!("{ip}: {ended}");
         exchange.step(|marker, now, out| marker.on_line(now, ip, false, out));
-        tokio::time::sleep(backoff.draw().min(REDIAL)).await;
+        tokio::time::sleep(backoff.next_wait().min(REDIAL)).await;
     }
     exchange.lines.borrow_mut().remove(&ip);
 }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -5,8 +5,8 @@
 
 use crate::request_state::Outcome;
 use bytes::Bytes;
+use granitelead_base::connection::{ConnectionHandle, ConnectionIo, Slot};
 use granitelead_base::set_user_timeout;
-use granitelead_base::wire::{Place, Wire, WireIo};
 use granitelead_common::configuration::RetrySafety;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Body as _;
@@ -75,7 +75,7 @@
 
 struct Idle {
     sender: SendRequest<Full<Bytes>>,
-    wire: Rc<Wire>,
+    wire: Rc<ConnectionHandle>,
     /// Whether it has carried no request yet, so that nothing but the next one's answer can come on it.
     fresh: bool,
     /// When it is closed.
@@ -130,7 +130,7 @@
             let fits = |one: &Idle| repeats == RetrySafety::Idempotent || now < one.promised;
             let one = idle.remove(idle.iter().rposition(fits)?);
             // The library sees what has come when the socket is next polled; by then the request would be sent.
-            if one.wire.is_quiet() {
+            if one.wire.is_idle() {
                 return Some(one);
             }
             one.wire.close();
@@ -147,22 +147,22 @@
 
     /// Opens a connection.
     async fn open(&self, to: SocketAddr, time: Duration) -> Option<Idle> {
-        let place = Place::take(&self.open, self.most)?;
+        let place = Slot::acquire(&self.open, self.most)?;
         let stream = tokio::time::timeout(CONNECT.min(time), TcpStream::connect(to)).await.ok()?.ok()?;
         self.opened.set(self.opened.get() + 1);
         let _ = stream.set_nodelay(true);
         set_user_timeout(&stream, UNACKNOWLEDGED, &Cell::new(1));
-        let wire = Wire::new(stream, place);
+        let wire = ConnectionHandle::new(stream, place);
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(HEAD_MAX)
-            .handshake(TokioIo::new(WireIo(wire.clone())))
+            .handshake(TokioIo::new(ConnectionIo(wire.clone())))
             .await
             .ok()?;
         let task = spawn_local(async move {
             // How it ends shows at the request that it carried.
             let _ = connection.await;
         });
-        wire.driven_by(task.abort_handle());
+        wire.set_driver(task.abort_handle());
         let now = Instant::now();
         Some(Idle { sender, wire, fresh: true, until: now, promised: now })
     }
@@ -189,14 +189,14 @@
             };
             let guard = Guard(Some(one.wire.clone()));
             let fresh = std::mem::replace(&mut one.fresh, false);
-            let written = one.wire.written();
+            let written = one.wire.bytes_written();
             let left = time.saturating_sub(begun.elapsed());
             let sent = one.sender.try_send_request(request);
             let response = match tokio::time::timeout(left, sent).await {
                 Err(_) => return (Outcome::Silent, None),
                 Ok(Err(mut e)) => match e.take_message() {
                     // The library gives back only what it has not begun; what counts is what went out.
-                    Some(unsent) if one.wire.written() == written => {
+                    Some(unsent) if one.wire.bytes_written() == written => {
                         request = unsent;
                         continue;
                     }
@@ -233,7 +233,7 @@
 }
 
 /// Closes a connection unless it is kept.
-struct Guard(Option<Rc<Wire>>);
+struct Guard(Option<Rc<ConnectionHandle>>);
 
 impl Guard {
     fn keep(mut self) {
--- a/crates/proxy/src/sessions.rs
+++ b/crates/proxy/src/sessions.rs
@@ -106,7 +106,7 @@
             Err(ended) => {
                 log::info!("{ip}: {ended}");
                 // Drawn, so that gatekeepers that lost a marker together do not come back together.
-                let wait = self.backoff.borrow_mut().draw();
+                let wait = self.backoff.borrow_mut().next_wait();
                 tokio::time::sleep(wait).await;
                 self.connecting.borrow_mut().remove(&ip);
                 return;
--- a/tests/discovery/fleet.rs
+++ b/tests/discovery/fleet.rs
@@ -1,8 +1,8 @@
 //! A whole fleet on one list service: 300 of the gatekeeper's own clients, 200 servers.
 
 use crate::peers::list::Service;
-use granitelead_list::follower::{Follower, Listing, Pace};
-use granitelead_list::forms::{HostList, Leased, Register};
+use granitelead_list::follower::{Follower, ListStatus, RequestTiming};
+use granitelead_list::messages::{HostList, LeaseResponse, RegisterRequest};
 use granitelead_list::sources::Sources;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -48,8 +48,8 @@
         String::from_utf8(body).unwrap()
     }
 
-    fn register(&mut self, uid: &str, boot_ms: u64) -> Leased {
-        let call = Register {
+    fn register(&mut self, uid: &str, boot_ms: u64) -> LeaseResponse {
+        let call = RegisterRequest {
             uid: uid.into(),
             endpoint: "127.0.0.1:9".into(),
             az: "a".into(),
@@ -125,9 +125,10 @@
         let mut moves = Vec::new();
         for seed in 0..GATEKEEPERS {
             let has = Rc::new(RefCell::new(Has::default()));
-            let pace = Pace::shared(GATEKEEPERS, Duration::from_secs(10), u64::from(seed));
+            let pace =
+                RequestTiming::for_shared_service(GATEKEEPERS, Duration::from_secs(10), u64::from(seed));
             let sources = Sources::new(vec![service.addr], &HostList::default());
-            let follower = Follower::new(sources, pace, Listing::new());
+            let follower = Follower::new(sources, pace, ListStatus::new());
             let (sender, places) = watch::channel(vec![service.addr]);
             let one = has.clone();
             spawn_local(follower.follow(places, move |list, _| one.borrow_mut().take(list)));
--- a/tests/discovery/main.rs
+++ b/tests/discovery/main.rs
@@ -4,7 +4,7 @@
 #[path = "../peers/mod.rs"]
 mod peers;
 
-use granitelead_list::forms::{HostList, Leased, OnLease, Refused};
+use granitelead_list::messages::{ErrorResponse, HostList, LeaseRequest, LeaseResponse};
 use peers::list::Service;
 use peers::*;
 use serde_json::{json, Value};
@@ -65,7 +65,7 @@
 }
 
 fn refused(answer: &Message) -> (u16, String) {
-    let why: Refused = serde_json::from_str(&answer.body).unwrap();
+    let why: ErrorResponse = serde_json::from_str(&answer.body).unwrap();
     (answer.status(), why.error)
 }
 
@@ -74,14 +74,14 @@
     json!({"uid": uid, "endpoint": endpoint.to_string(), "az": "a", "boot_ms": boot_ms, "ttl_ms": 30_000})
 }
 
-fn register(at: SocketAddr, call: &Value) -> Leased {
+fn register(at: SocketAddr, call: &Value) -> LeaseResponse {
     let answer = post(at, "/discovery/register", &call.to_string()).unwrap();
     assert_eq!(answer.status(), 200, "{}", answer.body);
     serde_json::from_str(&answer.body).unwrap()
 }
 
 fn on_lease(at: SocketAddr, what: &str, uid: &str, lease: u64) -> u16 {
-    let call = OnLease { uid: uid.into(), lease };
+    let call = LeaseRequest { uid: uid.into(), lease };
     let call = serde_json::to_string(&call).unwrap();
     post(at, &format!("/discovery/{what}"), &call).map_or(0, |answer| answer.status())
 }
@@ -116,7 +116,7 @@
                 let held = number.load(Ordering::SeqCst) as u64;
                 if on_lease(at, "renew", uid, held) == 404 {
                     if let Some(answer) = post(at, "/discovery/register", &call.to_string()) {
-                        if let Ok(leased) = serde_json::from_str::<Leased>(&answer.body) {
+                        if let Ok(leased) = serde_json::from_str::<LeaseResponse>(&answer.body) {
                             number.store(leased.lease as usize, Ordering::SeqCst);
                         }
                     }
