--- a/crates/proxy/src/client_stream.rs
+++ b/crates/proxy/src/client_stream.rs
@@ -1,4 +1,4 @@
-//! The socket of one client, as the HTTP library sees it.
+//! The client socket that is handed to hyper.
 
 use crate::connections::ClientConnection;
 use crate::pipeline::StartEarly;
@@ -10,7 +10,8 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A client's socket. It reports incoming bytes to its [`ClientConnection`], and lingers when it is closed.
+/// A client's socket. Reports received bytes to its [`ClientConnection`] and closes with a linger, so that
+/// the client can read the response first.
 pub struct ClientStream {
     stream: TcpStream,
     connection: Rc<ClientConnection>,
@@ -19,7 +20,7 @@
 }
 
 impl ClientStream {
-    /// Wraps the socket of a connection.
+    /// Wraps the socket of `connection`.
     pub fn new(stream: TcpStream, connection: Rc<ClientConnection>, start_early: StartEarly) -> ClientStream {
         ClientStream { stream, connection, start_early, linger: None }
     }
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -1,14 +1,15 @@
-//! Sends one request to servers until it has its one answer.
+//! Forwards one request to servers, with retries and hedging, until it has its one response.
 //!
-//! A server that is at work is not given up while its answer may still come: where it is overdue, another one is asked
-//! beside it, and the first answer is passed on. See [`crate::break_offs`] for what may end an attempt early.
+//! An attempt in progress is not abandoned while its response may still come. If it is overdue, a hedged
+//! attempt goes to another server, and the first response is passed on. [`crate::aborts`] lists what may
+//! abort an attempt.
 
-use crate::break_offs::BreakOff;
+use crate::aborts::AbortCause;
 use crate::drain::Drain;
 use crate::front::Front;
 use crate::gate::Pass;
-use crate::messages::{forwarded, passed_on, ResponseBody};
-use crate::pool::{names, Answer, Attempt as Sent};
+use crate::messages::{build_client_response, build_server_request, ResponseBody};
+use crate::pool::{names, AttemptResult, ServerResponse};
 use crate::request_state::{Next, Outcome, RequestState};
 use crate::servers::Sign;
 use crate::Millis;
@@ -22,81 +23,82 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// A server that was chosen for a request, and counts it as under way.
-struct Chosen {
+/// A server chosen for a request. The request already counts as in flight there.
+struct ChosenServer {
     id: Rc<str>,
     address: SocketAddr,
 }
 
-/// A request's place at a server, given back when dropped.
-struct Placement<'f> {
-    front: &'f Front,
+/// Counts a request as in flight at a server and at its service until dropped.
+struct InFlightGuard<'f> {
+    shared: &'f Front,
     server: Rc<str>,
     service: &'f str,
-    aim: Millis,
+    target_latency: Millis,
     has_ended: bool,
-    /// Counted if the request is broken off here.
-    cause: BreakOff,
+    /// Counted if the attempt is aborted.
+    cause: AbortCause,
 }
 
-impl Placement<'_> {
-    /// The attempt has ended by itself.
+impl InFlightGuard<'_> {
+    /// Records the outcome of an attempt that was not aborted.
     fn end(&mut self, outcome: &Outcome, took: Millis) {
         if *outcome == Outcome::Silent {
-            self.front.break_offs.count(BreakOff::Deadline);
+            self.shared.aborts.count(AbortCause::Deadline);
         }
         let sign = RequestState::sign(outcome, took);
-        let part_of_aim = matches!(sign, Sign::Good(_)).then(|| took as f64 / self.aim.max(1) as f64);
-        self.release(sign, part_of_aim);
+        let fraction_of_target =
+            matches!(sign, Sign::Good(_)).then(|| took as f64 / self.target_latency.max(1) as f64);
+        self.release(sign, fraction_of_target);
     }
 
-    /// The server has been at work for suspiciously long.
+    /// Reports to the server statistics that the response is overdue.
     fn observe_overdue(&self) {
-        let now = self.front.now();
-        self.front.gate.borrow_mut().servers.observe(now, &self.server, Sign::Failed, self.aim);
+        let now = self.shared.now();
+        self.shared.gate.borrow_mut().servers.observe(now, &self.server, Sign::Failed, self.target_latency);
     }
 
-    fn release(&mut self, sign: Sign, part_of_aim: Option<f64>) {
+    fn release(&mut self, sign: Sign, fraction_of_target: Option<f64>) {
         self.has_ended = true;
-        let (gate, now) = (&mut *self.front.gate.borrow_mut(), self.front.now());
-        gate.servers.end(now, &self.server, sign, self.aim);
-        gate.room.end(now, self.service, part_of_aim);
-        self.front.room.notify_one();
+        let (gate, now) = (&mut *self.shared.gate.borrow_mut(), self.shared.now());
+        gate.servers.end(now, &self.server, sign, self.target_latency);
+        gate.room.end(now, self.service, fraction_of_target);
+        self.shared.room.notify_one();
     }
 }
 
-impl Drop for Placement<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         if !self.has_ended {
-            self.front.break_offs.count(self.cause);
+            self.shared.aborts.count(self.cause);
             self.release(Sign::Nothing, None);
         }
     }
 }
 
-/// One sending of the request to a server. Dropping it closes the connection to the server.
+/// One attempt: the request sent to one server. Dropping it closes the connection to the server.
 struct Attempt<'f> {
-    exchange: Pin<Box<dyn Future<Output = Sent> + 'f>>,
-    placement: Placement<'f>,
-    begun: Millis,
+    exchange: Pin<Box<dyn Future<Output = AttemptResult> + 'f>>,
+    guard: InFlightGuard<'f>,
+    started_at: Millis,
     is_overdue: bool,
 }
 
-/// What happens next to a request that is at servers.
+/// What a request with attempts in progress waits for.
 enum Event {
-    /// The attempt at this place of the list has ended.
-    Ended(usize, Outcome, Option<Answer>),
-    /// The newest attempt has taken suspiciously long.
+    /// The attempt at this index has ended.
+    AttemptEnded(usize, Outcome, Option<ServerResponse>),
+    /// The newest attempt is overdue.
     Overdue,
-    /// The process has been told to end.
-    DrainBegun,
-    /// There is no time left.
-    TimeOver,
+    /// The process has begun to shut down.
+    DrainStarted,
+    /// The deadline has passed.
+    DeadlineReached,
 }
 
-/// A request on its way.
+/// A request that is being forwarded.
 struct Forwarding<'f> {
-    front: &'f Front,
+    shared: &'f Front,
     parts: &'f Parts,
     body: Bytes,
     pass: &'f Pass,
@@ -104,16 +106,16 @@
     state: RequestState,
     attempts: Vec<Attempt<'f>>,
     overdue_at: Option<Millis>,
-    /// A server's own failure, passed on where nothing better comes.
-    failure: Option<Answer>,
+    /// A server's error response, passed on if no attempt succeeds.
+    failure: Option<ServerResponse>,
 }
 
-/// Sends a request that has been let in to servers, and gives its one answer.
-pub async fn forward(front: &Front, parts: &Parts, body: Bytes, pass: &Pass) -> Response<ResponseBody> {
+/// Forwards an admitted request and returns its one response.
+pub async fn forward(shared: &Front, parts: &Parts, body: Bytes, pass: &Pass) -> Response<ResponseBody> {
     let route = pass.route();
     let state = RequestState {
         repeats: route.repeats,
-        begun: front.now(),
+        begun: shared.now(),
         deadline: pass.deadline,
         aim: route.target.as_millis() as Millis,
         attempts: route.attempts,
@@ -122,7 +124,7 @@
     };
     let attempt_id = parts.headers.get(names::ATTEMPT).map_or(&[][..], |id| id.as_bytes()).into();
     let forwarding = Forwarding {
-        front,
+        shared,
         parts,
         body,
         pass,
@@ -137,50 +139,50 @@
 
 impl<'f> Forwarding<'f> {
     async fn run(mut self) -> Response<ResponseBody> {
-        let Some(server) = self.wait_for_server().await else { return self.end_without_answer() };
-        self.front.gate.borrow_mut().budget.earn(self.front.now(), &self.pass.service);
+        let Some(server) = self.wait_for_server().await else { return self.final_failure_response() };
+        self.shared.gate.borrow_mut().budget.earn(self.shared.now(), &self.pass.service);
         self.start_attempt(server);
         loop {
             match self.next_event().await {
-                Event::Ended(place, outcome, answer) => {
-                    if let Some(response) = self.on_ended(place, outcome, answer) {
+                Event::AttemptEnded(index, outcome, response) => {
+                    if let Some(response) = self.on_attempt_ended(index, outcome, response) {
                         return response;
                     }
                 }
                 Event::Overdue => self.on_overdue(),
-                Event::DrainBegun => {}
-                Event::TimeOver => {
-                    self.break_off(self.time_limit());
-                    return self.end_without_answer();
+                Event::DrainStarted => {}
+                Event::DeadlineReached => {
+                    self.abort_attempts(self.deadline_cause());
+                    return self.final_failure_response();
                 }
             }
         }
     }
 
-    /// The first server, waited for a little where none has room.
-    async fn wait_for_server(&mut self) -> Option<Chosen> {
+    /// Chooses the first server; waits a limited time if none has capacity.
+    async fn wait_for_server(&mut self) -> Option<ChosenServer> {
         loop {
-            if self.front.now() >= self.state.deadline {
+            if self.shared.now() >= self.state.deadline {
                 return None;
             }
-            if let Some(chosen) = self.choose() {
+            if let Some(chosen) = self.choose_server() {
                 return Some(chosen);
             }
-            let (now, until) = (self.front.now(), self.state.hold_until());
+            let (now, until) = (self.shared.now(), self.state.hold_until());
             if now >= until {
                 return None;
             }
-            // Whoever is notified and finds nothing notifies the next.
+            // A waiter that is woken and still finds no server waits again; the wake-up is not passed on.
             let wait = Duration::from_millis(until - now);
-            let _ = tokio::time::timeout(wait, self.front.room.notified()).await;
+            let _ = tokio::time::timeout(wait, self.shared.room.notified()).await;
         }
     }
 
-    /// A server for the request that has room now and has not had it yet.
-    fn choose(&self) -> Option<Chosen> {
-        let (gate, now) = (&mut *self.front.gate.borrow_mut(), self.front.now());
+    /// Chooses a server that has capacity now and has not been tried for this request.
+    fn choose_server(&self) -> Option<ChosenServer> {
+        let (gate, now) = (&mut *self.shared.gate.borrow_mut(), self.shared.now());
         let service = &self.pass.service;
-        if !gate.room.has(service, self.pass.priority) {
+        if !gate.room.has_capacity(service, self.pass.priority) {
             return None;
         }
         let id = gate.servers.pick(now, service, &self.state.tried)?;
@@ -191,154 +193,156 @@
             return None;
         };
         gate.room.begin(service);
-        Some(Chosen { id, address })
+        Some(ChosenServer { id, address })
     }
 
-    fn start_attempt(&mut self, server: Chosen) {
-        let now = self.front.now();
+    fn start_attempt(&mut self, server: ChosenServer) {
+        let now = self.shared.now();
         let left = self.pass.deadline.saturating_sub(now);
-        let request = forwarded(self.parts, self.body.clone(), self.pass, &server.id, left);
-        let (front, attempt_id, repeats) = (self.front, self.attempt_id.clone(), self.state.repeats);
+        let request = build_server_request(self.parts, self.body.clone(), self.pass, &server.id, left);
+        let (shared, attempt_id, repeats) = (self.shared, self.attempt_id.clone(), self.state.repeats);
         let exchange = async move {
             let time = Duration::from_millis(left);
-            front.pool.send(server.address, request, &attempt_id, repeats, time).await
+            shared.pool.send(server.address, request, &attempt_id, repeats, time).await
         };
-        let placement = Placement {
-            front,
+        let guard = InFlightGuard {
+            shared,
             server: server.id.clone(),
             service: &self.pass.service,
-            aim: self.state.aim,
+            target_latency: self.state.aim,
             has_ended: false,
-            cause: BreakOff::ClientGone,
+            cause: AbortCause::ClientGone,
         };
         self.state.tried.push(server.id);
         self.overdue_at = self.state.overdue_at(now);
         let exchange = Box::pin(exchange);
-        self.attempts.push(Attempt { exchange, placement, begun: now, is_overdue: false });
+        self.attempts.push(Attempt { exchange, guard, started_at: now, is_overdue: false });
     }
 
     async fn next_event(&mut self) -> Event {
-        let front = self.front;
-        let drain = front.drain();
+        let shared = self.shared;
+        let drain = shared.drain();
         if let Some(drain) = drain {
-            self.shorten(drain);
+            self.limit_deadline(drain);
         }
         let wake_at = self.overdue_at.unwrap_or(self.state.deadline).min(self.state.deadline);
         let is_overdue = wake_at < self.state.deadline;
         let attempts = &mut self.attempts;
         tokio::select! {
             biased;
-            (place, (outcome, answer)) = poll_fn(|cx| poll_any(attempts, cx)) => {
-                Event::Ended(place, outcome, answer)
+            (index, (outcome, response)) = poll_fn(|cx| poll_any(attempts, cx)) => {
+                Event::AttemptEnded(index, outcome, response)
+            }
+            () = shared.drain_started(), if drain.is_none() => Event::DrainStarted,
+            () = shared.sleep_until(wake_at) => {
+                if is_overdue { Event::Overdue } else { Event::DeadlineReached }
             }
-            () = front.draining(), if drain.is_none() => Event::DrainBegun,
-            () = front.sleep_until(wake_at) => if is_overdue { Event::Overdue } else { Event::TimeOver },
         }
     }
 
-    /// Has the request end before the process does, and another server asked in time for that.
-    fn shorten(&mut self, drain: Drain) {
+    /// Limits the deadline to the end of the drain, and moves the hedged attempt forward accordingly.
+    fn limit_deadline(&mut self, drain: Drain) {
         let limit = drain.gives_up_at();
         if limit < self.state.deadline {
             self.state.deadline = limit;
-            let overdue_at = self.state.overdue_at(self.front.now());
+            let overdue_at = self.state.overdue_at(self.shared.now());
             self.overdue_at = self.overdue_at.min(overdue_at);
         }
     }
 
-    /// What sets the time in which the request must be answered.
-    fn time_limit(&self) -> BreakOff {
-        let is_by_drain = |drain: Drain| self.state.deadline == drain.gives_up_at();
-        if self.front.drain().is_some_and(is_by_drain) {
-            BreakOff::GracePeriod
+    /// Whether the request's own deadline or the grace period of the shutdown ends it.
+    fn deadline_cause(&self) -> AbortCause {
+        let is_set_by_drain = |drain: Drain| self.state.deadline == drain.gives_up_at();
+        if self.shared.drain().is_some_and(is_set_by_drain) {
+            AbortCause::GracePeriod
         } else {
-            BreakOff::Deadline
+            AbortCause::Deadline
         }
     }
 
-    /// An attempt has ended; the final answer, if that is it.
-    fn on_ended(
+    /// Handles the end of an attempt; returns the response if the request is finished.
+    fn on_attempt_ended(
         &mut self,
-        place: usize,
+        index: usize,
         outcome: Outcome,
-        answer: Option<Answer>,
+        response: Option<ServerResponse>,
     ) -> Option<Response<ResponseBody>> {
-        let now = self.front.now();
-        let mut attempt = self.attempts.remove(place);
-        attempt.placement.end(&outcome, now - attempt.begun);
-        let (usual, has_budget) = self.usual_time_and_budget(now);
-        match self.state.on_outcome(now, &outcome, usual, || has_budget) {
+        let now = self.shared.now();
+        let mut attempt = self.attempts.remove(index);
+        attempt.guard.end(&outcome, now - attempt.started_at);
+        let (typical, has_budget) = self.typical_time_and_budget(now);
+        match self.state.on_outcome(now, &outcome, typical, || has_budget) {
             Next::Send => {
-                self.keep_failure(&outcome, answer);
-                self.try_another(now);
+                self.keep_failure(&outcome, response);
+                self.start_another_attempt(now);
             }
-            Next::Pass if answer.is_some() && (self.attempts.is_empty() || !is_failure(&outcome)) => {
-                self.break_off(BreakOff::Superseded);
-                return answer.map(passed_on);
+            Next::Pass if response.is_some() && (self.attempts.is_empty() || !is_failure(&outcome)) => {
+                self.abort_attempts(AbortCause::Superseded);
+                return response.map(build_client_response);
             }
-            Next::Pass | Next::End(_) => self.keep_failure(&outcome, answer),
+            Next::Pass | Next::End(_) => self.keep_failure(&outcome, response),
         }
         if self.attempts.is_empty() {
-            return Some(self.end_without_answer());
+            return Some(self.final_failure_response());
         }
         None
     }
 
-    /// The newest attempt takes long: another server is asked beside it, if that is allowed and one has room.
+    /// The newest attempt is overdue: starts a hedged attempt if one is allowed and a server has capacity.
     fn on_overdue(&mut self) {
-        let now = self.front.now();
+        let now = self.shared.now();
         self.overdue_at = self.state.overdue_at(now);
         if let Some(newest) = self.attempts.last_mut().filter(|attempt| !attempt.is_overdue) {
             newest.is_overdue = true;
-            newest.placement.observe_overdue();
+            newest.guard.observe_overdue();
         }
-        let (usual, has_budget) = self.usual_time_and_budget(now);
-        if self.state.hedges(now, usual, || has_budget) {
-            self.try_another(now);
+        let (typical, has_budget) = self.typical_time_and_budget(now);
+        if self.state.hedges(now, typical, || has_budget) {
+            self.start_another_attempt(now);
         }
     }
 
-    /// Sends the request to one more server, if one has room.
-    fn try_another(&mut self, now: Millis) {
-        if let Some(server) = self.choose() {
-            self.front.gate.borrow_mut().budget.spend(now, &self.pass.service);
+    /// Starts another attempt if a server has capacity.
+    fn start_another_attempt(&mut self, now: Millis) {
+        if let Some(server) = self.choose_server() {
+            self.shared.gate.borrow_mut().budget.spend(now, &self.pass.service);
             self.start_attempt(server);
         }
     }
 
-    fn usual_time_and_budget(&self, now: Millis) -> (f64, bool) {
-        /// Taken for usual where nothing is known yet, ms.
-        const UNKNOWN: f64 = 50.0;
-        let (gate, service) = (&mut *self.front.gate.borrow_mut(), &self.pass.service);
-        let usual = gate.servers.typical(service, self.state.aim).unwrap_or(UNKNOWN);
-        (usual, gate.budget.has(now, service))
+    fn typical_time_and_budget(&self, now: Millis) -> (f64, bool) {
+        /// Assumed while no response time of the service is known.
+        const DEFAULT_RESPONSE_MS: f64 = 50.0;
+        let (gate, service) = (&mut *self.shared.gate.borrow_mut(), &self.pass.service);
+        let typical = gate.servers.typical(service, self.state.aim).unwrap_or(DEFAULT_RESPONSE_MS);
+        (typical, gate.budget.has(now, service))
     }
 
-    fn keep_failure(&mut self, outcome: &Outcome, answer: Option<Answer>) {
+    fn keep_failure(&mut self, outcome: &Outcome, response: Option<ServerResponse>) {
         if matches!(outcome, Outcome::Answer(_)) {
-            self.failure = answer.or(self.failure.take());
+            self.failure = response.or(self.failure.take());
         }
     }
 
-    /// Leaves all servers that are at work.
-    fn break_off(&mut self, cause: BreakOff) {
+    /// Aborts all attempts in progress.
+    fn abort_attempts(&mut self, cause: AbortCause) {
         for mut attempt in self.attempts.drain(..) {
-            // It may have begun to work.
+            // The server may have started to execute the request.
             self.state.may_have_run = true;
-            if cause == BreakOff::Deadline && !attempt.is_overdue {
-                attempt.placement.observe_overdue();
+            if cause == AbortCause::Deadline && !attempt.is_overdue {
+                attempt.guard.observe_overdue();
             }
-            attempt.placement.cause = cause;
+            attempt.guard.cause = cause;
         }
     }
 
-    /// The final answer where no server has given a good one.
-    fn end_without_answer(&mut self) -> Response<ResponseBody> {
+    /// The final response if no attempt has succeeded.
+    fn final_failure_response(&mut self) -> Response<ResponseBody> {
         match self.failure.take() {
-            Some(failure) => passed_on(failure),
+            Some(failure) => build_client_response(failure),
             None => {
-                let kind = self.state.ending(self.front.now());
-                self.front.refuse(kind, Some(self.pass))
+                let kind = self.state.ending(self.shared.now());
+                self.shared.refuse(kind, Some(self.pass))
             }
         }
     }
@@ -348,11 +352,11 @@
     matches!(outcome, Outcome::Answer(500..))
 }
 
-/// The first attempt that has ended.
-fn poll_any(attempts: &mut [Attempt], cx: &mut Context) -> Poll<(usize, Sent)> {
-    for (place, attempt) in attempts.iter_mut().enumerate() {
+/// Returns the first attempt that has ended, with its index.
+fn poll_any(attempts: &mut [Attempt], cx: &mut Context) -> Poll<(usize, AttemptResult)> {
+    for (index, attempt) in attempts.iter_mut().enumerate() {
         if let Poll::Ready(sent) = attempt.exchange.as_mut().poll(cx) {
-            return Poll::Ready((place, sent));
+            return Poll::Ready((index, sent));
         }
     }
     Poll::Pending
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -1,9 +1,9 @@
-//! What all requests of a gatekeeper share, and the answers that it gives itself.
+//! State shared by all requests of a gatekeeper, and the error responses that it generates itself.
 
-use crate::break_offs::BreakOffs;
+use crate::aborts::AbortCounts;
 use crate::drain::Drain;
 use crate::gate::{Gate, Pass, Refusal};
-use crate::messages::{whole, ResponseBody};
+use crate::messages::{full_body, ResponseBody};
 use crate::pool::ConnectionPool;
 use crate::Millis;
 use bytes::Bytes;
@@ -18,51 +18,53 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What all requests of a gatekeeper share.
+/// State shared by all requests of a gatekeeper.
 pub struct Front {
-    /// What it holds.
+    /// Configuration, servers, quotas and limits, by which requests are admitted.
     pub gate: RefCell<Gate>,
-    /// Its connections to servers.
+    /// Connections to servers.
     pub pool: Rc<ConnectionPool>,
-    /// Told when a server has room again, or there is another.
+    /// Notified when a request has ended at a server or an update of the servers has arrived.
     pub room: Notify,
-    /// Told when a marker has told something.
+    /// Notified when a message from a marker has been processed.
     pub news: Notify,
-    /// Requests that are not answered yet.
-    pub open: Cell<usize>,
-    /// Bytes of requests held at once, and how many there may be.
-    pub held: Cell<usize>,
-    /// See [`Front::held`].
-    pub held_max: usize,
-    /// Requests that were broken off at servers.
-    pub break_offs: BreakOffs,
-    drain_begun: Notify,
-    begun: Instant,
+    /// Requests in progress.
+    pub open_requests: Cell<usize>,
+    /// Bytes of request bodies that are buffered now.
+    pub buffered_bytes: Cell<usize>,
+    /// Most bytes of request bodies that may be buffered at once.
+    pub buffered_bytes_max: usize,
+    /// Counts of aborted attempts at servers.
+    pub aborts: AbortCounts,
+    drain_started: Notify,
+    started_at: Instant,
 }
 
 impl Front {
-    /// With nothing under way; the bytes of requests held at once are bounded.
-    pub fn new(gate: Gate, pool: ConnectionPool, held_max: usize) -> Front {
+    /// Creates the state without any requests; `buffered_bytes_max` limits the buffered bytes of request
+    /// bodies.
+    pub fn new(gate: Gate, pool: ConnectionPool, buffered_bytes_max: usize) -> Front {
         Front {
             gate: RefCell::new(gate),
             pool: Rc::new(pool),
             room: Notify::new(),
             news: Notify::new(),
-            open: Cell::new(0),
-            held: Cell::new(0),
-            held_max,
-            break_offs: BreakOffs::default(),
-            drain_begun: Notify::new(),
-            begun: Instant::now(),
+            open_requests: Cell::new(0),
+            buffered_bytes: Cell::new(0),
+            buffered_bytes_max,
+            aborts: AbortCounts::default(),
+            drain_started: Notify::new(),
+            started_at: Instant::now(),
         }
     }
 
-    /// The time on this process's clock.
+    /// Time since the start of the gatekeeper.
     pub fn now(&self) -> Millis {
-        self.begun.elapsed().as_millis() as Millis
+        self.started_at.elapsed().as_millis() as Millis
     }
 
-    /// Whether the work on a request may start before its turn: only if its route's requests may run more than once.
+    /// Whether work on a pipelined request may start ahead of its turn: only if its route's requests are
+    /// idempotent.
     pub fn may_start_early(&self, parts: &Parts) -> bool {
         let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
         let gate = self.gate.borrow();
@@ -70,42 +72,43 @@
         route.is_some_and(|route| route.repeats == Repeats::Safe)
     }
 
-    /// Completes at this time of the process's clock.
+    /// Completes at this time, as given by [`Front::now`].
     pub async fn sleep_until(&self, at: Millis) {
-        tokio::time::sleep_until(self.begun + Duration::from_millis(at)).await;
+        tokio::time::sleep_until(self.started_at + Duration::from_millis(at)).await;
     }
 
-    /// Begins to end: clients are led elsewhere, and what can't be answered in the grace period is refused.
+    /// Begins the drain: readiness fails, and requests that can't be answered in the grace period are
+    /// rejected.
     pub fn begin_drain(&self, grace: Duration) -> Drain {
         let drain = Drain::new(self.now(), grace.as_millis() as Millis);
         self.gate.borrow_mut().drain = Some(drain);
-        self.drain_begun.notify_waiters();
+        self.drain_started.notify_waiters();
         drain
     }
 
-    /// How the process ends, once it has been told to.
+    /// The schedule of the drain, once it has begun.
     pub fn drain(&self) -> Option<Drain> {
         self.gate.borrow().drain
     }
 
     /// Completes when [`Front::begin_drain`] is called.
-    pub async fn draining(&self) {
-        self.drain_begun.notified().await;
+    pub async fn drain_started(&self) {
+        self.drain_started.notified().await;
     }
 
-    /// The final answer where no server's is passed on.
+    /// The error response of this kind, for a request that gets no response from a server.
     pub fn refuse(&self, kind: Kind, pass: Option<&Pass>) -> Response<ResponseBody> {
         self.refuse_for(kind.into(), pass)
     }
 
-    /// The same, with what is known of when to come back.
+    /// Like [`Front::refuse`], with `Retry-After` computed from the refusal's wait.
     pub fn refuse_for(&self, refusal: Refusal, pass: Option<&Pass>) -> Response<ResponseBody> {
         let row = refusal.kind.row();
-        let mut response = Response::new(whole(Bytes::from(format!("{}: {}\n", row.name, row.advice))));
+        let mut response = Response::new(full_body(Bytes::from(format!("{}: {}\n", row.name, row.advice))));
         *response.status_mut() = hyper::StatusCode::from_u16(row.status).unwrap_or_default();
         if row.promises {
-            let aim = pass.map_or(200, |pass| pass.route().target.as_millis() as Millis);
-            let wait = self.gate.borrow_mut().come_back(aim, refusal.wait);
+            let target_latency = pass.map_or(200, |pass| pass.route().target.as_millis() as Millis);
+            let wait = self.gate.borrow_mut().come_back(target_latency, refusal.wait);
             let text = format!("{:.3}", wait as f64 / 1e3);
             if let Ok(value) = HeaderValue::from_str(&text) {
                 response.headers_mut().insert(RETRY_AFTER, value);
--- a/crates/proxy/src/handler.rs
+++ b/crates/proxy/src/handler.rs
@@ -1,4 +1,4 @@
-//! Handles one request: reads it, has it let in and forwarded, and gives its one answer.
+//! Handles one request: admission, reading the body, forwarding, and its one response.
 
 use crate::forward::forward;
 use crate::front::Front;
@@ -15,42 +15,43 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Time for a body to come.
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// Timeout for reading a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a request waits at the most for the first configuration, and which part of its time.
-const START: Duration = Duration::from_millis(700);
-const START_PART: f64 = 0.3;
+/// How long a request waits at most for the first configuration after a start, in absolute terms and as a
+/// fraction of its time.
+const CONFIGURATION_WAIT_MAX: Duration = Duration::from_millis(700);
+const CONFIGURATION_WAIT_FRACTION: f64 = 0.3;
 
-/// Counts something up, and down when dropped.
-struct Counted<'c>(&'c Cell<usize>, usize);
+/// Adds an amount to a counter, and subtracts it when dropped.
+struct CounterGuard<'c>(&'c Cell<usize>, usize);
 
-impl<'c> Counted<'c> {
-    fn up(cell: &'c Cell<usize>, n: usize) -> Counted<'c> {
-        cell.set(cell.get() + n);
-        Counted(cell, n)
+impl<'c> CounterGuard<'c> {
+    fn up(counter: &'c Cell<usize>, amount: usize) -> CounterGuard<'c> {
+        counter.set(counter.get() + amount);
+        CounterGuard(counter, amount)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CounterGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - self.1);
     }
 }
 
-/// A request of a tenant, open until this is dropped.
-struct TenantOpen<'f>(&'f Front, Option<String>);
+/// Counts a request as open for its tenant until dropped.
+struct OpenTenantRequest<'f>(&'f Front, Option<String>);
 
-impl<'f> TenantOpen<'f> {
-    fn begin(front: &'f Front, pass: &Pass) -> TenantOpen<'f> {
+impl<'f> OpenTenantRequest<'f> {
+    fn begin(shared: &'f Front, pass: &Pass) -> OpenTenantRequest<'f> {
         if let Some(tenant) = &pass.tenant {
-            front.gate.borrow_mut().tenants.open(tenant, 1.0);
+            shared.gate.borrow_mut().tenants.open(tenant, 1.0);
         }
-        TenantOpen(front, pass.tenant.clone())
+        OpenTenantRequest(shared, pass.tenant.clone())
     }
 }
 
-impl Drop for TenantOpen<'_> {
+impl Drop for OpenTenantRequest<'_> {
     fn drop(&mut self) {
         if let Some(tenant) = &self.1 {
             self.0.gate.borrow_mut().tenants.open(tenant, -1.0);
@@ -58,51 +59,63 @@
     }
 }
 
-/// Answers one request; without a body where it has none.
-pub async fn answer(front: &Front, parts: &Parts, body: Option<&mut Incoming>) -> Response<ResponseBody> {
-    let _open = Counted::up(&front.open, 1);
-    handle(front, parts, body).await
+/// Handles one request and returns its response. `body` is `None` for a request without a body.
+pub async fn handle_request(
+    shared: &Front,
+    parts: &Parts,
+    body: Option<&mut Incoming>,
+) -> Response<ResponseBody> {
+    let _open_request = CounterGuard::up(&shared.open_requests, 1);
+    process_request(shared, parts, body).await
 }
 
-async fn handle(front: &Front, parts: &Parts, body: Option<&mut Incoming>) -> Response<ResponseBody> {
+async fn process_request(
+    shared: &Front,
+    parts: &Parts,
+    body: Option<&mut Incoming>,
+) -> Response<ResponseBody> {
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
-    let Some(host) = host.or(parts.uri.host()) else { return front.refuse(Kind::Malformed, None) };
-    wait_for_configuration(front, &parts.headers).await;
-    let admitted = front.gate.borrow_mut().admit(front.now(), host, parts.uri.path(), &parts.headers);
+    let Some(host) = host.or(parts.uri.host()) else { return shared.refuse(Kind::Malformed, None) };
+    wait_for_configuration(shared, &parts.headers).await;
+    let admitted = shared.gate.borrow_mut().admit(shared.now(), host, parts.uri.path(), &parts.headers);
     let pass = match admitted {
         Ok(pass) => pass,
-        Err(refusal) => return front.refuse_for(refusal, None),
+        Err(refusal) => return shared.refuse_for(refusal, None),
     };
-    let _tenant = TenantOpen::begin(front, &pass);
+    let _tenant = OpenTenantRequest::begin(shared, &pass);
     let limit = usize::try_from(pass.configuration.limits.body).unwrap_or(usize::MAX);
     let body = match body {
         None => Bytes::new(),
-        Some(body) => match collect(body, limit.min(front.held_max)).await {
+        Some(body) => match read_body(body, limit.min(shared.buffered_bytes_max)).await {
             Ok(body) => body,
-            Err(kind) => return front.refuse(kind, Some(&pass)),
+            Err(kind) => return shared.refuse(kind, Some(&pass)),
         },
     };
-    let _held = Counted::up(&front.held, body.len());
-    if front.held.get() > front.held_max {
-        return front.refuse(Kind::NoRoom, Some(&pass));
+    let _buffered = CounterGuard::up(&shared.buffered_bytes, body.len());
+    if shared.buffered_bytes.get() > shared.buffered_bytes_max {
+        return shared.refuse(Kind::NoRoom, Some(&pass));
     }
-    forward(front, parts, body, &pass).await
+    forward(shared, parts, body, &pass).await
 }
 
-/// A gatekeeper that has just started knows soon what to do with a request: better than to send it away.
-async fn wait_for_configuration(front: &Front, headers: &HeaderMap) {
-    let told = headers.get(names::DEADLINE).and_then(|value| value.to_str().ok()?.parse().ok());
-    let wait = told.map_or(START, Duration::from_millis).mul_f64(START_PART).min(START);
-    let known = async {
-        while front.gate.borrow().configuration.is_none() {
-            front.news.notified().await;
+/// Waits a limited time for the first configuration. It arrives soon after a start, so requests need not be
+/// rejected.
+async fn wait_for_configuration(shared: &Front, headers: &HeaderMap) {
+    let time_left = headers.get(names::DEADLINE).and_then(|value| value.to_str().ok()?.parse().ok());
+    let wait = time_left
+        .map_or(CONFIGURATION_WAIT_MAX, Duration::from_millis)
+        .mul_f64(CONFIGURATION_WAIT_FRACTION)
+        .min(CONFIGURATION_WAIT_MAX);
+    let configured = async {
+        while shared.gate.borrow().configuration.is_none() {
+            shared.news.notified().await;
         }
     };
-    let _ = tokio::time::timeout(wait, known).await;
+    let _ = tokio::time::timeout(wait, configured).await;
 }
 
-async fn collect(body: &mut Incoming, limit: usize) -> Result<Bytes, Kind> {
-    match tokio::time::timeout(BODY_TIME, Limited::new(body, limit).collect()).await {
+async fn read_body(body: &mut Incoming, limit: usize) -> Result<Bytes, Kind> {
+    match tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, limit).collect()).await {
         Err(_) => Err(Kind::TooSlow),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Kind::TooLarge),
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,11 +1,12 @@
 //! The data plane of the system.
 //!
-//! A gatekeeper takes requests from clients and sends each to a server, by the configuration and the servers that
-//! markers push to it. [`gate`] joins what it holds and decides with. A client's connection is accepted in [`listeners`]
-//! and kept in [`connections`]; a request of it goes through [`handler`] and [`forward`], whose decisions are in
-//! [`request_state`], to a connection of the [`pool`]. [`run`] joins all to sockets and signals; [`shutdown`] ends it.
+//! A gatekeeper accepts requests from clients and forwards each to a server, according to the configuration
+//! and the list of servers that markers push to it. [`gate`] holds this state and admits requests. Client
+//! connections are accepted in [`listeners`] and tracked in [`connections`]. A request passes through
+//! [`handler`] and [`forward`], whose decisions are made in [`request_state`], to a connection of the
+//! [`pool`]. [`run`] connects all of this with sockets and signals; [`shutdown`] drains and ends the process.
 
-pub mod break_offs;
+pub mod aborts;
 pub mod budget;
 pub mod client_stream;
 pub mod connections;
@@ -31,7 +32,7 @@
 
 use std::process::ExitCode;
 
-/// Points in time and spans, ms of a clock that never goes back.
+/// Points in time and durations, ms of a monotonic clock.
 pub type Millis = u64;
 
 const HELP: &str = "\
@@ -39,15 +40,15 @@
 
 USAGE: granitelead-proxy [--help | --version]
 
-Reads the settings file that GRANITELEAD_NODE_FILE names (/etc/granitelead/node.toml without it). SIGHUP reads it
-again, SIGTERM answers what is under way and ends. The log is a ring in memory, written to standard error when
-something goes wrong.
+Reads the settings file that GRANITELEAD_NODE_FILE names (default /etc/granitelead/node.toml). SIGHUP reloads
+it. SIGTERM finishes the requests in flight and exits. The log is a ring buffer in memory, written to standard
+error when something goes wrong.
 
-EXIT STATUS: 0 after SIGTERM, 1 when it can't go on, 2 for settings or a command line that can't be used
+EXIT STATUS: 0 after SIGTERM, 1 after a fatal error, 2 for invalid settings or an invalid command line
 
 EXAMPLE: GRANITELEAD_NODE_FILE=/etc/granitelead/node.toml granitelead-proxy";
 
-/// Runs a gatekeeper; its exit status.
+/// Parses the command line and runs a gatekeeper; returns the exit status.
 pub fn run() -> ExitCode {
     if let Some(status) = granitelead_common::command::options("granitelead-proxy", HELP) {
         return status;
@@ -55,14 +56,14 @@
     start()
 }
 
-/// Runs a gatekeeper without looking at the command line; its exit status.
+/// Runs a gatekeeper without parsing the command line; returns the exit status.
 pub fn start() -> ExitCode {
     let settings = match granitelead_common::command::begin("granitelead-proxy") {
         Ok(settings) => settings,
         Err(status) => return status,
     };
     let (Some(front), Some(readiness)) = (settings.front, settings.readiness) else {
-        eprintln!("granitelead-proxy: settings: listen-addresses: front and readiness are expected");
+        eprintln!("granitelead-proxy: settings: listen-addresses: front and readiness are required");
         return ExitCode::from(granitelead_common::command::UNUSABLE);
     };
     granitelead_base::run(
--- a/crates/proxy/src/listeners.rs
+++ b/crates/proxy/src/listeners.rs
@@ -1,9 +1,9 @@
-//! The sockets at which clients and the platform connect.
+//! Listeners for clients and for the platform's readiness and metrics requests.
 
 use crate::client_stream::ClientStream;
 use crate::connections::{ClientConnections, ConnectionSlot};
 use crate::front::Front;
-use crate::handler::answer;
+use crate::handler::handle_request;
 use crate::metrics;
 use bytes::Bytes;
 use granitelead_base::{set_user_timeout, ACCEPT_PAUSE};
@@ -23,28 +23,29 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// How long a client may leave sent bytes without acknowledging them.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(5);
-/// Least room for heads that the HTTP library takes, bytes.
-const HEAD_LEAST: usize = 8_192;
-/// How long the platform may hold a connection to the readiness address.
-const READINESS_MAX: Duration = Duration::from_secs(30);
-/// Idle connections are closed at the end of the process once they have been idle for so long: a request that is on
-/// its way to a connection would else meet its close. A connection that has just come sends its request within this.
-pub const CLOSE_PATIENCE: Duration = Duration::from_secs(1);
+/// How long sent bytes may stay unacknowledged by a client (`TCP_USER_TIMEOUT`).
+const UNACKNOWLEDGED_MAX: Duration = Duration::from_secs(5);
+/// Smallest buffer for request heads that hyper accepts, bytes.
+const HEAD_BUFFER_MIN: usize = 8_192;
+/// Longest time for a connection to the readiness address.
+const READINESS_CONNECTION_MAX: Duration = Duration::from_secs(30);
+/// During shutdown, connections are closed once they have been idle for this long: closing earlier could cut
+/// off a request that is already on the network. A newly opened connection sends its request within this
+/// time.
+pub const IDLE_BEFORE_CLOSE: Duration = Duration::from_secs(1);
 
 /// Serves one client's connection until it ends.
-pub async fn serve_client(front: Rc<Front>, slot: ConnectionSlot, stream: TcpStream) {
+pub async fn serve_client(shared: Rc<Front>, slot: ConnectionSlot, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    set_user_timeout(&stream, UNACKNOWLEDGED, &Cell::new(1));
+    set_user_timeout(&stream, UNACKNOWLEDGED_MAX, &Cell::new(1));
     let connection = slot.connection.clone();
-    if front.drain().is_some() {
-        connection.request_close(CLOSE_PATIENCE);
+    if shared.drain().is_some() {
+        connection.request_close(IDLE_BEFORE_CLOSE);
     }
-    let head = front.gate.borrow().configuration.as_ref().map_or(HEAD_LEAST, |c| c.limits.head);
-    let (its_front, its_connection) = (front.clone(), connection.clone());
+    let head = shared.gate.borrow().configuration.as_ref().map_or(HEAD_BUFFER_MIN, |c| c.limits.head);
+    let (service_shared, service_connection) = (shared.clone(), connection.clone());
     let service = service_fn(move |request: Request<Incoming>| {
-        let (front, connection) = (its_front.clone(), its_connection.clone());
+        let (shared, connection) = (service_shared.clone(), service_connection.clone());
         let ongoing = connection.begin();
         let (parts, mut body) = request.into_parts();
         let early = connection.take_early(&parts);
@@ -55,7 +56,7 @@
             };
             let mut response = match early {
                 Some(response) => response,
-                None => answer(&front, &parts, Some(&mut body)).await,
+                None => handle_request(&shared, &parts, Some(&mut body)).await,
             };
             connection.set_body_unread(!body.is_end_stream());
             if ongoing.is_last() {
@@ -64,21 +65,21 @@
             Ok::<_, Infallible>(response)
         }
     });
-    let its_front = front.clone();
+    let early_shared = shared.clone();
     let start_early = Box::new(move |parts: &Parts| {
-        let (front, parts) = (its_front.clone(), parts.clone());
-        let may_start = front.may_start_early(&parts);
-        may_start.then(|| spawn_local(async move { answer(&front, &parts, None).await }))
+        let (shared, parts) = (early_shared.clone(), parts.clone());
+        let may_start = shared.may_start_early(&parts);
+        may_start.then(|| spawn_local(async move { handle_request(&shared, &parts, None).await }))
     });
     let stream = ClientStream::new(stream, connection.clone(), start_early);
     let serving = http1::Builder::new()
-        .max_buf_size(head.max(HEAD_LEAST))
+        .max_buf_size(head.max(HEAD_BUFFER_MIN))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(serving);
     let mut is_closing = false;
     loop {
         tokio::select! {
-            // A client that breaks off is its own affair.
+            // Errors of the client's connection need no handling.
             _ = serving.as_mut() => return,
             () = connection.close_is_due(), if !is_closing => {
                 is_closing = true;
@@ -88,17 +89,17 @@
     }
 }
 
-/// Accepts clients until `stop` is notified, and then those that wait in the listener's queue.
+/// Accepts clients until `stop` is notified and the listener's backlog has been emptied.
 pub async fn accept_clients(
-    front: Rc<Front>,
+    shared: Rc<Front>,
     connections: Rc<ClientConnections>,
     listener: TcpListener,
-    most: usize,
+    connections_max: usize,
     stop: Rc<Notify>,
 ) {
     let serve = |stream| {
-        if let Some(slot) = connections.accept(most) {
-            spawn_local(serve_client(front.clone(), slot, stream));
+        if let Some(slot) = connections.accept(connections_max) {
+            spawn_local(serve_client(shared.clone(), slot, stream));
         }
     };
     loop {
@@ -111,26 +112,26 @@
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             },
-            // The queue is empty.
+            // Polled only when the backlog is empty.
             () = stop.notified() => return,
         }
     }
 }
 
-/// Tells the platform whether clients may come.
-pub async fn tell_readiness(front: Rc<Front>, listener: TcpListener) {
+/// Serves the readiness check and the metrics to the platform.
+pub async fn serve_readiness(shared: Rc<Front>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        spawn_local(answer_readiness(front.clone(), stream));
+        spawn_local(serve_readiness_connection(shared.clone(), stream));
     }
 }
 
-async fn answer_readiness(front: Rc<Front>, stream: TcpStream) {
+async fn serve_readiness_connection(shared: Rc<Front>, stream: TcpStream) {
     let service = service_fn(move |request: Request<Incoming>| {
-        let gate = front.gate.borrow();
+        let gate = shared.gate.borrow();
         let (status, body) = match (request.uri().path(), gate.is_ready()) {
             ("/readiness", true) => (StatusCode::OK, String::new()),
             ("/readiness", false) => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
@@ -142,6 +143,6 @@
         async { Ok::<_, Infallible>(response) }
     });
     let serving =
-        http1::Builder::new().max_buf_size(HEAD_LEAST).serve_connection(TokioIo::new(stream), service);
-    let _ = tokio::time::timeout(READINESS_MAX, serving).await;
+        http1::Builder::new().max_buf_size(HEAD_BUFFER_MIN).serve_connection(TokioIo::new(stream), service);
+    let _ = tokio::time::timeout(READINESS_CONNECTION_MAX, serving).await;
 }
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,7 +1,7 @@
-//! Requests as servers get them, and answers as clients get them.
+//! Conversion of requests and responses between clients and servers.
 
 use crate::gate::Pass;
-use crate::pool::{names, Answer, Body};
+use crate::pool::{names, Body, ServerResponse};
 use crate::Millis;
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -16,17 +16,18 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// The body of an answer to a client.
+/// The body of a response to a client.
 pub type ResponseBody = UnsyncBoxBody<Bytes, hyper::Error>;
 
-/// A body that is held as a whole.
-pub fn whole(bytes: Bytes) -> ResponseBody {
+/// A body that consists of these bytes.
+pub fn full_body(bytes: Bytes) -> ResponseBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Headers that concern one connection only.
-fn is_for_one_connection(name: &HeaderName, named: &[String]) -> bool {
-    const NAMES: [HeaderName; 9] = [
+/// Whether a header is hop-by-hop: standard, or listed in `Connection`. `Content-Length` counts as well,
+/// since it is computed again where needed.
+fn is_hop_by_hop(name: &HeaderName, connection_options: &[String]) -> bool {
+    const HOP_BY_HOP: [HeaderName; 9] = [
         CONNECTION,
         EXPECT,
         PROXY_AUTHENTICATE,
@@ -37,36 +38,42 @@
         UPGRADE,
         CONTENT_LENGTH,
     ];
-    NAMES.contains(name)
+    HOP_BY_HOP.contains(name)
         || ["keep-alive", "proxy-connection"].contains(&name.as_str())
-        || named.iter().any(|other| other.eq_ignore_ascii_case(name.as_str()))
+        || connection_options.iter().any(|other| other.eq_ignore_ascii_case(name.as_str()))
 }
 
-fn named(headers: &HeaderMap) -> Vec<String> {
+fn connection_options(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
     values.flat_map(|value| value.split(',')).map(|name| name.trim().to_owned()).collect()
 }
 
-/// A client's request as a server gets it.
-pub fn forwarded(parts: &Parts, body: Bytes, pass: &Pass, life: &str, left: Millis) -> Request<Full<Bytes>> {
+/// Converts a client's request to the one that a server receives, with `time_left` ms until its deadline.
+pub fn build_server_request(
+    parts: &Parts,
+    body: Bytes,
+    pass: &Pass,
+    instance: &str,
+    time_left: Millis,
+) -> Request<Full<Bytes>> {
     let has_body = !body.is_empty() || parts.headers.contains_key(CONTENT_LENGTH);
     let length = body.len();
     let mut request = Request::new(Full::new(body));
     request.method_mut().clone_from(&parts.method);
-    // The origin form, unchanged: path and query.
+    // The origin form of the target, unchanged: path and query.
     let target = parts.uri.path_and_query().map_or("/", |target| target.as_str());
     *request.uri_mut() = target.parse().unwrap_or_default();
-    let named = named(&parts.headers);
+    let connection_options = connection_options(&parts.headers);
     let headers = request.headers_mut();
     for (name, value) in &parts.headers {
-        let own = [names::DEADLINE, names::EXPECTED, names::TENANT].contains(name);
-        let key = *name == AUTHORIZATION && pass.configuration.keyed;
-        if !own && !key && !is_for_one_connection(name, &named) {
+        let is_internal = [names::DEADLINE, names::EXPECTED, names::TENANT].contains(name);
+        let is_api_key = *name == AUTHORIZATION && pass.configuration.keyed;
+        if !is_internal && !is_api_key && !is_hop_by_hop(name, &connection_options) {
             headers.append(name, value.clone());
         }
     }
-    headers.insert(names::DEADLINE, HeaderValue::from(left));
-    if let Ok(value) = HeaderValue::from_str(life) {
+    headers.insert(names::DEADLINE, HeaderValue::from(time_left));
+    if let Ok(value) = HeaderValue::from_str(instance) {
         headers.insert(names::EXPECTED, value);
     }
     if let Some(value) = pass.tenant.as_ref().and_then(|name| HeaderValue::from_str(name).ok()) {
@@ -78,30 +85,30 @@
     request
 }
 
-/// A server's answer as its client gets it.
-pub fn passed_on(answer: Answer) -> Response<ResponseBody> {
-    let (mut parts, ()) = answer.head.into_parts();
-    let named = named(&parts.headers);
-    let gone: Vec<HeaderName> =
-        parts.headers.keys().filter(|name| is_for_one_connection(name, &named)).cloned().collect();
-    for name in gone {
-        // A length is right for a body that is passed on as it comes.
-        let length = name == CONTENT_LENGTH && matches!(answer.body, Body::Rest(..));
-        if !length {
+/// Converts a server's response to the one that the client receives.
+pub fn build_client_response(response: ServerResponse) -> Response<ResponseBody> {
+    let (mut parts, ()) = response.head.into_parts();
+    let connection_options = connection_options(&parts.headers);
+    let removed: Vec<HeaderName> =
+        parts.headers.keys().filter(|name| is_hop_by_hop(name, &connection_options)).cloned().collect();
+    for name in removed {
+        // The length stays valid for a body that is streamed.
+        let is_kept_length = name == CONTENT_LENGTH && matches!(response.body, Body::Partial(..));
+        if !is_kept_length {
             parts.headers.remove(name);
         }
     }
     parts.version = hyper::Version::HTTP_11;
-    let body = match answer.body {
-        Body::Whole(bytes) => whole(bytes),
-        Body::Rest(begin, rest) => Remainder { begin: Some(begin), rest }.boxed_unsync(),
+    let body = match response.body {
+        Body::Complete(bytes) => full_body(bytes),
+        Body::Partial(beginning, rest) => Remainder { beginning: Some(beginning), rest }.boxed_unsync(),
     };
     Response::from_parts(parts, body)
 }
 
-/// A body whose beginning has been read.
+/// A body whose beginning has already been read.
 struct Remainder {
-    begin: Option<Bytes>,
+    beginning: Option<Bytes>,
     rest: Incoming,
 }
 
@@ -113,8 +120,8 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
-        match self.begin.take() {
-            Some(begin) => Poll::Ready(Some(Ok(Frame::data(begin)))),
+        match self.beginning.take() {
+            Some(beginning) => Poll::Ready(Some(Ok(Frame::data(beginning)))),
             None => Pin::new(&mut self.rest).poll_frame(cx),
         }
     }
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,18 +1,19 @@
-//! The gatekeeper's figures as text, one a line: a name, labels, a value. `GET /metrics` at the readiness address has them.
+//! The gatekeeper's metrics as text, one per line: name, labels, value. Served by `GET /metrics` at the
+//! readiness address.
 
 use crate::gate::Gate;
 use std::fmt::Write;
 
-/// Tenants that are shown: those with the most requests.
+/// Number of tenants shown: those with the most requests.
 const TENANTS_SHOWN: usize = 32;
 
-/// All figures of a gatekeeper.
+/// All metrics of a gatekeeper.
 pub fn text(gate: &Gate) -> String {
     let mut text = String::new();
     let membership = gate.tenants.membership();
     let home = gate.control.home().map_or("none".to_owned(), |ip| ip.to_string());
     let version = gate.configuration.as_ref().map_or(0, |c| c.version);
-    // Writing to a string does not fail.
+    // Writing to a string can't fail.
     let _ = writeln!(text, "configuration_version {version}");
     let _ = writeln!(text, "ready {}", u8::from(gate.is_ready()));
     let _ = writeln!(text, "quota_gatekeepers {}", membership.gatekeepers);
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -1,9 +1,9 @@
-//! Pipelined requests: those that a client sends before the first is answered.
+//! HTTP pipelining: early work on requests that a client sends before the previous ones are answered.
 //!
-//! The HTTP library takes requests one at a time and remains the one that frames them. This only scans the bytes as
-//! they pass: as long as no request of a connection had a body, each head that is whole and has none either is one
-//! whose work may start. When the library comes to it, the work is under way or done. A connection on which anything
-//! else was seen is not scanned any more.
+//! hyper processes requests one at a time and remains responsible for framing. This module only scans the
+//! received bytes: as long as no request on the connection had a body, work may start on each complete head
+//! without a body. When hyper reaches that request, the work is in progress or done. Once anything else is
+//! seen on a connection, scanning stops for good.
 
 use crate::messages::ResponseBody;
 use hyper::http::request::Parts;
@@ -11,28 +11,28 @@
 use std::collections::VecDeque;
 use tokio::task::JoinHandle;
 
-/// Headers that a head may have to be looked at.
+/// Most headers in a head that is scanned.
 const HEADERS_MAX: usize = 64;
-/// Bytes of a head that is waited for.
+/// Most bytes buffered for an incomplete head.
 const HEAD_MAX: usize = 16 << 10;
 
-/// Starts the work on a pipelined request, or gives `None` where it has to wait for its turn.
+/// Starts work on a pipelined request; `None` if the request has to wait for its turn.
 pub type StartEarly = Box<dyn Fn(&Parts) -> Option<JoinHandle<Response<ResponseBody>>>>;
 
-/// The work on a pipelined request that was started before its turn. Aborted when dropped.
+/// Work on a pipelined request that was started ahead of its turn. Aborted when dropped.
 pub struct EarlyWork {
-    place: u64,
+    index: u64,
     parts: Parts,
     work: JoinHandle<Response<ResponseBody>>,
 }
 
 impl EarlyWork {
-    /// The work on the request at this place of its connection, counted from 0.
-    pub fn new(place: u64, parts: Parts, work: JoinHandle<Response<ResponseBody>>) -> EarlyWork {
-        EarlyWork { place, parts, work }
+    /// Wraps work on the request at index `index` of its connection, counted from 0.
+    pub fn new(index: u64, parts: Parts, work: JoinHandle<Response<ResponseBody>>) -> EarlyWork {
+        EarlyWork { index, parts, work }
     }
 
-    /// Waits for the answer; `None` if the work failed. Dropping the future aborts the work.
+    /// Waits for the response; `None` if the work failed. Dropping the future aborts the work.
     pub async fn answer(mut self) -> Option<Response<ResponseBody>> {
         (&mut self.work).await.ok()
     }
@@ -52,33 +52,33 @@
 }
 
 impl Pipeline {
-    /// Takes in what has been read. Gives the heads that are whole, each with its place on the connection.
+    /// Scans received bytes. Returns the heads that are now complete, each with its index on the connection.
     pub fn feed(&mut self, bytes: &[u8]) -> Vec<(u64, Parts)> {
         self.scanner.feed(bytes)
     }
 
-    /// How many whole heads have been read, as far as the connection is scanned.
+    /// Number of complete heads read so far, as far as the connection was scanned.
     pub fn heads_read(&self) -> u64 {
-        self.scanner.read
+        self.scanner.heads_read
     }
 
-    /// How many requests are at work before their turn.
+    /// Number of requests that are being processed ahead of their turn.
     pub fn early_count(&self) -> usize {
         self.early.len()
     }
 
-    /// Adds work that was started early. Places rise.
+    /// Adds work that was started early, in ascending order of the index.
     pub fn add_early(&mut self, work: EarlyWork) {
         self.early.push_back(work);
     }
 
-    /// The early work on the request at this place, if it is the same request.
-    pub fn take(&mut self, place: u64, parts: &Parts) -> Option<EarlyWork> {
-        while self.early.front().is_some_and(|early| early.place < place) {
+    /// Takes the early work on the request at this index, if the heads are the same.
+    pub fn take(&mut self, index: u64, parts: &Parts) -> Option<EarlyWork> {
+        while self.early.front().is_some_and(|early| early.index < index) {
             self.early.pop_front();
         }
-        let is_its = |early: &EarlyWork| early.place == place && is_same(&early.parts, parts);
-        if self.early.front().is_some_and(is_its) {
+        let is_same_request = |early: &EarlyWork| early.index == index && is_same_head(&early.parts, parts);
+        if self.early.front().is_some_and(is_same_request) {
             self.early.pop_front()
         } else {
             None
@@ -86,11 +86,11 @@
     }
 }
 
-/// Scans the bytes of one connection for heads of requests without a body.
+/// Scans the bytes of one connection for request heads without a body.
 #[derive(Default)]
 struct HeadScanner {
     bytes: Vec<u8>,
-    read: u64,
+    heads_read: u64,
     stopped: bool,
 }
 
@@ -102,14 +102,14 @@
         }
         self.bytes.extend_from_slice(bytes);
         loop {
-            match head(&self.bytes) {
-                Head::Whole(size, parts) => {
+            match parse_head(&self.bytes) {
+                Head::Complete(size, parts) => {
                     self.bytes.drain(..size);
-                    found.push((self.read, *parts));
-                    self.read += 1;
+                    found.push((self.heads_read, *parts));
+                    self.heads_read += 1;
                 }
-                Head::Part if self.bytes.len() <= HEAD_MAX => break,
-                Head::Part | Head::Other => {
+                Head::Partial if self.bytes.len() <= HEAD_MAX => break,
+                Head::Partial | Head::Unsupported => {
                     (self.stopped, self.bytes) = (true, Vec::new());
                     break;
                 }
@@ -123,36 +123,37 @@
 }
 
 enum Head {
-    Whole(usize, Box<Parts>),
-    Part,
-    Other,
+    Complete(usize, Box<Parts>),
+    Partial,
+    Unsupported,
 }
 
-fn head(bytes: &[u8]) -> Head {
+fn parse_head(bytes: &[u8]) -> Head {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
-    let mut read = httparse::Request::new(&mut headers);
-    let size = match read.parse(bytes) {
+    let mut parsed = httparse::Request::new(&mut headers);
+    let size = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(size)) => size,
-        Ok(httparse::Status::Partial) => return Head::Part,
-        Err(_) => return Head::Other,
+        Ok(httparse::Status::Partial) => return Head::Partial,
+        Err(_) => return Head::Unsupported,
     };
     let framing = ["content-length", "transfer-encoding", "upgrade", "expect", "connection"];
-    let plain = read.headers.iter().all(|h| !framing.iter().any(|name| h.name.eq_ignore_ascii_case(name)));
-    if read.method != Some(Method::GET.as_str()) || read.version != Some(1) || !plain {
-        return Head::Other;
+    let has_plain_framing =
+        parsed.headers.iter().all(|h| !framing.iter().any(|name| h.name.eq_ignore_ascii_case(name)));
+    if parsed.method != Some(Method::GET.as_str()) || parsed.version != Some(1) || !has_plain_framing {
+        return Head::Unsupported;
     }
-    let mut request = Request::builder().method(Method::GET).uri(read.path.unwrap_or("/"));
-    for header in read.headers.iter() {
+    let mut request = Request::builder().method(Method::GET).uri(parsed.path.unwrap_or("/"));
+    for header in parsed.headers.iter() {
         request = request.header(header.name, header.value);
     }
     match request.body(()) {
-        Ok(request) => Head::Whole(size, Box::new(request.into_parts().0)),
-        Err(_) => Head::Other,
+        Ok(request) => Head::Complete(size, Box::new(request.into_parts().0)),
+        Err(_) => Head::Unsupported,
     }
 }
 
-/// Whether two heads are of the same request.
-fn is_same(one: &Parts, other: &Parts) -> bool {
+/// Whether two request heads are equal.
+fn is_same_head(one: &Parts, other: &Parts) -> bool {
     one.method == other.method && one.uri == other.uri && one.headers == other.headers
 }
 
@@ -168,7 +169,7 @@
     }
 
     #[gtest]
-    fn requests_are_seen_however_their_bytes_are_cut() {
+    fn heads_are_found_regardless_of_how_the_bytes_are_split() {
         let bytes = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\nX: 1\r\n\r\nGET /c HTTP/1.1\r\n\r\n";
         for piece in [1, 7, 1_000] {
             let pieces: Vec<&[u8]> = bytes.chunks(piece).collect();
@@ -178,7 +179,7 @@
     }
 
     #[gtest]
-    fn nothing_is_seen_behind_what_may_have_a_body_or_is_no_request() {
+    fn scanning_stops_at_a_request_that_may_have_a_body_or_is_malformed() {
         let inner = "GET /inner HTTP/1.1\r\nHost: h\r\n\r\n";
         for first in [
             format!("POST /a HTTP/1.1\r\nContent-Length: {}\r\n\r\n", inner.len()),
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -1,7 +1,9 @@
-//! Connections to servers: one request at a time on each, kept while it may be used again.
+//! Pool of connections to servers. Each connection carries one request at a time and is reused while that is
+//! safe.
 //!
-//! What comes on a connection is taken for the answer to a request only if it can be no other's. Whatever else
-//! comes, and whatever ends early, leaves the request as one that may have run, and ends the connection.
+//! A response is attributed to a request only if it can't belong to another one. Anything else that arrives,
+//! and any connection that ends early, closes the connection and leaves the request as one that may have been
+//! executed.
 
 use crate::request_state::Outcome;
 use bytes::Bytes;
@@ -24,151 +26,163 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Time for a connection to come up; within a region it takes some milliseconds.
-const CONNECT: Duration = Duration::from_millis(250);
-/// How long sent bytes may go without being acknowledged.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
-/// For how long an idle connection is kept for what may run more than once where its server promises nothing.
-const KEEP: Duration = Duration::from_secs(4);
-/// The part that is used of the time that a server promises to keep an idle connection.
-const PROMISED: f64 = 0.6;
-/// Idle connections kept to one server.
-const IDLE_MAX: usize = 4;
-/// Largest answer that is held as a whole; a larger one is passed on as it comes.
-pub const WHOLE_MAX: usize = 512 << 10;
-/// Bytes of a head from a server.
+/// Timeout for establishing a connection; within a region it takes some milliseconds.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long sent bytes may stay unacknowledged (`TCP_USER_TIMEOUT`).
+const UNACKNOWLEDGED_MAX: Duration = Duration::from_millis(1_500);
+/// How long an idle connection is kept for idempotent requests if its server sends no `Keep-Alive` timeout.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Fraction used of the time for which a server promises to keep an idle connection open.
+const PROMISED_FRACTION: f64 = 0.6;
+/// Idle connections kept per server.
+const IDLE_PER_SERVER_MAX: usize = 4;
+/// Largest response body that is buffered, bytes; a larger one is streamed.
+pub const BUFFERED_BODY_MAX: usize = 512 << 10;
+/// Largest response head accepted from a server, bytes.
 const HEAD_MAX: usize = 32 << 10;
 
-/// The headers of the system's own protocol.
+/// Names of the headers of granitelead's own protocol.
 pub mod names {
     use hyper::header::HeaderName;
 
-    /// The id of a client's try.
+    /// Id of the client's attempt.
     pub const ATTEMPT: HeaderName = HeaderName::from_static("x-granitelead-attempt-id");
-    /// The time that is left, ms.
+    /// Time left for the request, ms.
     pub const DEADLINE: HeaderName = HeaderName::from_static("x-granitelead-deadline-milliseconds");
-    /// The life of a server that alone may run it.
+    /// The only server instance that may execute the request.
     pub const EXPECTED: HeaderName = HeaderName::from_static("x-granitelead-expected-instance");
-    /// The tenant that holds the key.
+    /// The tenant that the API key belongs to.
     pub const TENANT: HeaderName = HeaderName::from_static("x-granitelead-tenant-name");
-    /// The server's stamp.
+    /// Set by the server on its own responses.
     pub const SEAL: HeaderName = HeaderName::from_static("x-granitelead-server-seal");
-    /// The server did not run it.
+    /// The server did not execute the request.
     pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-granitelead-not-executed");
 }
 
-/// The body of an answer.
+/// The body of a server's response.
 pub enum Body {
-    /// All of it.
-    Whole(Bytes),
-    /// Its beginning, and what is still to come.
-    Rest(Bytes, Incoming),
+    /// The complete body.
+    Complete(Bytes),
+    /// The beginning that has been read, and the rest still to be received.
+    Partial(Bytes, Incoming),
 }
 
-/// An answer of a server.
-pub struct Answer {
+/// A server's response.
+pub struct ServerResponse {
     /// Status and headers.
     pub head: Response<()>,
-    /// Its body.
+    /// The body.
     pub body: Body,
 }
 
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     wire: Rc<Wire>,
-    /// Whether it has carried no request yet, so that nothing but the next one's answer can come on it.
-    fresh: bool,
-    /// When it is closed.
-    until: Instant,
-    /// Until when its server promises to keep it.
-    promised: Instant,
+    /// Whether it has carried no request yet, so that only the response to the first one can arrive on it.
+    unused: bool,
+    /// When the pool closes it.
+    expires_at: Instant,
+    /// Until when its server has promised to keep it open.
+    promised_until: Instant,
 }
 
-/// How long a connection may rest after an answer.
-struct Rest {
-    /// Until it is closed.
-    kept: Duration,
-    /// As far as its server promises to keep it.
+/// How long a connection may stay idle after a response.
+struct KeepAlive {
+    /// Until the pool closes it.
+    idle_timeout: Duration,
+    /// For how long its server promises to keep it open.
     promised: Duration,
 }
 
-/// All connections to servers.
+/// The connections to all servers.
 pub struct ConnectionPool {
-    idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
     open: Rc<Cell<usize>>,
-    most: usize,
-    /// Connections opened, for the figures.
+    connections_max: usize,
+    /// Connections opened since the start.
     pub opened: Cell<u64>,
 }
 
-/// What an attempt gives: how it ended, and the answer if there is one to pass on.
-pub type Attempt = (Outcome, Option<Answer>);
+/// The result of an attempt: its outcome, and the response if there is one to pass on.
+pub type AttemptResult = (Outcome, Option<ServerResponse>);
 
 impl ConnectionPool {
-    /// At most so many at once.
-    pub fn new(most: usize) -> ConnectionPool {
-        ConnectionPool { idle: RefCell::default(), open: Rc::default(), most, opened: Cell::new(0) }
+    /// Creates a pool with at most this many open connections.
+    pub fn new(connections_max: usize) -> ConnectionPool {
+        ConnectionPool {
+            idle: RefCell::default(),
+            open: Rc::default(),
+            connections_max,
+            opened: Cell::new(0),
+        }
     }
 
-    /// Closes what is idle for too long, and all that is idle to an address that is no longer used.
+    /// Closes idle connections that have expired or whose address is no longer in use.
     pub fn sweep(&self, used: impl Fn(SocketAddr) -> bool) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|to, idle| {
-            idle.retain(|one| used(*to) && now < one.until && !one.sender.is_closed());
+            idle.retain(|connection| {
+                used(*to) && now < connection.expires_at && !connection.sender.is_closed()
+            });
             !idle.is_empty()
         });
     }
 
-    /// A connection that rests and may carry such a request.
-    fn take(&self, to: SocketAddr, repeats: Repeats) -> Option<Idle> {
+    /// Takes an idle connection that may carry a request of this kind.
+    fn take(&self, to: SocketAddr, repeats: Repeats) -> Option<IdleConnection> {
         let now = Instant::now();
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(&to)?;
-        idle.retain(|one| now < one.until && one.sender.is_ready() && !one.sender.is_closed());
-        // The one that was used last: the others may then be closed.
+        idle.retain(|connection| {
+            now < connection.expires_at && connection.sender.is_ready() && !connection.sender.is_closed()
+        });
+        // The most recently used one first, so that the others can expire.
         loop {
-            let fits = |one: &Idle| repeats == Repeats::Safe || now < one.promised;
-            let one = idle.remove(idle.iter().rposition(fits)?);
-            // The library sees what has come when the socket is next polled; by then the request would be sent.
-            if one.wire.is_quiet() {
-                return Some(one);
+            let fits =
+                |connection: &IdleConnection| repeats == Repeats::Safe || now < connection.promised_until;
+            let connection = idle.remove(idle.iter().rposition(fits)?);
+            // hyper notices received bytes or a close only at its next poll, when the request would already
+            // be sent.
+            if connection.wire.is_quiet() {
+                return Some(connection);
             }
-            one.wire.close();
+            connection.wire.close();
         }
     }
 
-    fn give_back(&self, to: SocketAddr, one: Idle) {
+    fn put_back(&self, to: SocketAddr, connection: IdleConnection) {
         let mut all = self.idle.borrow_mut();
         let idle = all.entry(to).or_default();
-        if idle.len() < IDLE_MAX {
-            idle.push(one);
+        if idle.len() < IDLE_PER_SERVER_MAX {
+            idle.push(connection);
         }
     }
 
     /// Opens a connection.
-    async fn open(&self, to: SocketAddr, time: Duration) -> Option<Idle> {
-        let place = Place::take(&self.open, self.most)?;
-        let stream = tokio::time::timeout(CONNECT.min(time), TcpStream::connect(to)).await.ok()?.ok()?;
+    async fn open(&self, to: SocketAddr, time: Duration) -> Option<IdleConnection> {
+        let slot = Place::take(&self.open, self.connections_max)?;
+        let stream =
+            tokio::time::timeout(CONNECT_TIMEOUT.min(time), TcpStream::connect(to)).await.ok()?.ok()?;
         self.opened.set(self.opened.get() + 1);
         let _ = stream.set_nodelay(true);
-        set_user_timeout(&stream, UNACKNOWLEDGED, &Cell::new(1));
-        let wire = Wire::new(stream, place);
+        set_user_timeout(&stream, UNACKNOWLEDGED_MAX, &Cell::new(1));
+        let wire = Wire::new(stream, slot);
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(HEAD_MAX)
             .handshake(TokioIo::new(WireIo(wire.clone())))
             .await
             .ok()?;
         let task = spawn_local(async move {
-            // How it ends shows at the request that it carried.
+            // An error is reported to the request that the connection carries.
             let _ = connection.await;
         });
         wire.driven_by(task.abort_handle());
         let now = Instant::now();
-        Some(Idle { sender, wire, fresh: true, until: now, promised: now })
+        Some(IdleConnection { sender, wire, unused: true, expires_at: now, promised_until: now })
     }
 
-    /// Sends a request to a server and reads the answer, in this time at most. `id` is that of the client's try;
-    /// `repeats` says on which connections it may go. Dropping it closes the connection.
+    /// Sends a request to a server and reads the response, within `time`. `id` is the client's attempt id;
+    /// `repeats` determines which idle connections may be used. Dropping the future closes the connection.
     pub async fn send(
         self: &Rc<Self>,
         to: SocketAddr,
@@ -176,27 +190,28 @@
         id: &[u8],
         repeats: Repeats,
         time: Duration,
-    ) -> Attempt {
-        let begun = Instant::now();
+    ) -> AttemptResult {
+        let started_at = Instant::now();
         let mut request = request;
-        // A connection that was closed meanwhile gives the request back unsent.
+        // Retried once: a connection that was closed in the meantime returns the request unsent.
         for _ in 0..2 {
-            let Some(mut one) = (match self.take(to, repeats) {
-                Some(one) => Some(one),
+            let Some(mut connection) = (match self.take(to, repeats) {
+                Some(connection) => Some(connection),
                 None => self.open(to, time).await,
             }) else {
                 return (Outcome::NotSent, None);
             };
-            let guard = Guard(Some(one.wire.clone()));
-            let fresh = std::mem::replace(&mut one.fresh, false);
-            let written = one.wire.written();
-            let left = time.saturating_sub(begun.elapsed());
-            let sent = one.sender.try_send_request(request);
+            let guard = CloseGuard(Some(connection.wire.clone()));
+            let first_on_connection = std::mem::replace(&mut connection.unused, false);
+            let written = connection.wire.written();
+            let left = time.saturating_sub(started_at.elapsed());
+            let sent = connection.sender.try_send_request(request);
             let response = match tokio::time::timeout(left, sent).await {
                 Err(_) => return (Outcome::Silent, None),
                 Ok(Err(mut e)) => match e.take_message() {
-                    // The library gives back only what it has not begun; what counts is what went out.
-                    Some(unsent) if one.wire.written() == written => {
+                    // hyper returns a request that it has not started; it is unsent only if no bytes were
+                    // written.
+                    Some(unsent) if connection.wire.written() == written => {
                         request = unsent;
                         continue;
                     }
@@ -204,44 +219,47 @@
                 },
                 Ok(Ok(response)) => response,
             };
-            let left = time.saturating_sub(begun.elapsed());
-            let read = tokio::time::timeout(left, read(response, id, fresh)).await;
-            let (outcome, answer, whole) = match read {
+            let left = time.saturating_sub(started_at.elapsed());
+            let read = tokio::time::timeout(left, read_response(response, id, first_on_connection)).await;
+            let (outcome, response, complete) = match read {
                 Err(_) => return (Outcome::Silent, None),
                 Ok(None) => return (Outcome::Broken, None),
                 Ok(Some(read)) => read,
             };
-            if let (true, Some(rest)) = (whole, answer.as_ref().and_then(|a| keep(a.head.headers()))) {
-                // What comes after a whole answer belongs to no request, and ends the connection.
-                guard.keep();
+            if let (true, Some(keep_alive)) =
+                (complete, response.as_ref().and_then(|response| parse_keep_alive(response.head.headers())))
+            {
+                // Bytes that follow a complete response belong to no request and close the connection.
+                guard.disarm();
                 let now = Instant::now();
-                (one.until, one.promised) = (now + rest.kept, now + rest.promised);
+                (connection.expires_at, connection.promised_until) =
+                    (now + keep_alive.idle_timeout, now + keep_alive.promised);
                 let pool = self.clone();
                 spawn_local(async move {
-                    if one.sender.ready().await.is_ok() {
-                        pool.give_back(to, one);
+                    if connection.sender.ready().await.is_ok() {
+                        pool.put_back(to, connection);
                     }
                 });
-            } else if !whole {
-                // It is read on by whoever passes it on, and closed after.
-                guard.keep();
+            } else if !complete {
+                // The consumer of the response reads the rest of the body; then the connection closes.
+                guard.disarm();
             }
-            return (outcome, answer);
+            return (outcome, response);
         }
         (Outcome::NotSent, None)
     }
 }
 
-/// Closes a connection unless it is kept.
-struct Guard(Option<Rc<Wire>>);
+/// Closes a connection when dropped, unless disarmed.
+struct CloseGuard(Option<Rc<Wire>>);
 
-impl Guard {
-    fn keep(mut self) {
+impl CloseGuard {
+    fn disarm(mut self) {
         self.0 = None;
     }
 }
 
-impl Drop for Guard {
+impl Drop for CloseGuard {
     fn drop(&mut self) {
         if let Some(wire) = &self.0 {
             wire.close();
@@ -249,74 +267,78 @@
     }
 }
 
-/// For how long a connection may be used again after this answer, if it may.
-fn keep(headers: &HeaderMap) -> Option<Rest> {
-    let closes = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
-    if closes.flat_map(|value| value.split(',')).any(|word| word.trim().eq_ignore_ascii_case("close")) {
+/// How long a connection may be reused after a response with these headers; `None` if it may not be.
+fn parse_keep_alive(headers: &HeaderMap) -> Option<KeepAlive> {
+    let options = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
+    if options.flat_map(|value| value.split(',')).any(|option| option.trim().eq_ignore_ascii_case("close")) {
         return None;
     }
-    let told = headers.get("keep-alive").and_then(|value| value.to_str().ok());
-    let timeout = told.into_iter().flat_map(|value| value.split(',')).find_map(|part| {
+    let header = headers.get("keep-alive").and_then(|value| value.to_str().ok());
+    let timeout = header.into_iter().flat_map(|value| value.split(',')).find_map(|part| {
         let (name, value) = part.split_once('=')?;
         name.trim().eq_ignore_ascii_case("timeout").then(|| value.trim().parse::<u32>().ok())?
     });
     Some(match timeout {
         Some(secs) => {
-            let kept = Duration::from_secs(u64::from(secs)).mul_f64(PROMISED);
-            Rest { kept, promised: kept }
+            let idle_timeout = Duration::from_secs(u64::from(secs)).mul_f64(PROMISED_FRACTION);
+            KeepAlive { idle_timeout, promised: idle_timeout }
         }
-        // Only whole seconds are told: it may be less than one.
-        None => Rest { kept: KEEP, promised: Duration::ZERO },
+        // The timeout is in whole seconds, so one below a second can't be stated.
+        None => KeepAlive { idle_timeout: IDLE_TIMEOUT, promised: Duration::ZERO },
     })
 }
 
-/// Whose answer a head is.
+/// Which request a response head identifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Whose {
-    /// It carries the id of the request.
+enum ResponseId {
+    /// It carries the attempt id of the request.
     Own,
-    /// It carries none.
-    Unnamed,
-    /// It carries another's, or more than one.
+    /// It carries no attempt id.
+    Missing,
+    /// It carries another attempt id, or more than one.
     Other,
 }
 
-fn whose(headers: &HeaderMap, id: &[u8]) -> Whose {
+fn identify(headers: &HeaderMap, id: &[u8]) -> ResponseId {
     let mut ids = headers.get_all(names::ATTEMPT).iter();
     match (ids.next(), ids.next()) {
-        (None, _) => Whose::Unnamed,
-        (Some(one), None) if one.as_bytes() == id => Whose::Own,
-        _ => Whose::Other,
+        (None, _) => ResponseId::Missing,
+        (Some(value), None) if value.as_bytes() == id => ResponseId::Own,
+        _ => ResponseId::Other,
     }
 }
 
-/// Whether the end of a body can be told from its being cut: it has a length, or comes in chunks.
+/// Whether a truncated body can be detected: it has a length or is chunked.
 fn is_framed(headers: &HeaderMap, body: &Incoming) -> bool {
-    let coding = headers.get_all(TRANSFER_ENCODING).iter().next_back().and_then(|value| value.to_str().ok());
-    let last = coding.and_then(|value| value.rsplit(',').next());
-    body.size_hint().exact().is_some() || last.is_some_and(|last| last.trim().eq_ignore_ascii_case("chunked"))
+    let codings = headers.get_all(TRANSFER_ENCODING).iter().next_back().and_then(|value| value.to_str().ok());
+    let last = codings.and_then(|value| value.rsplit(',').next());
+    body.size_hint().exact().is_some()
+        || last.is_some_and(|coding| coding.trim().eq_ignore_ascii_case("chunked"))
 }
 
-/// Reads an answer and says what it is; whether the connection is done with it. `fresh` says that the request was the
-/// first on its connection.
-async fn read(
+/// Reads a response: its outcome, the response, and whether its body has been read completely. `None` if it
+/// can't be attributed to the request. `first_on_connection` says that the request was the first on its
+/// connection.
+async fn read_response(
     response: Response<Incoming>,
     id: &[u8],
-    fresh: bool,
-) -> Option<(Outcome, Option<Answer>, bool)> {
+    first_on_connection: bool,
+) -> Option<(Outcome, Option<ServerResponse>, bool)> {
     let (parts, mut body) = response.into_parts();
     let status = parts.status.as_u16();
-    let turned_away = parts.headers.contains_key(names::NOT_EXECUTED);
-    // A server that turns a request away may name none. That is this one's only where no other can be owed: behind an
-    // earlier exchange it may be a surplus of that one's, while this request runs.
-    let unnamed = fresh && (turned_away || status == 421);
-    match whose(&parts.headers, id) {
-        Whose::Own => {}
-        Whose::Unnamed if unnamed => {}
-        Whose::Unnamed | Whose::Other => return None,
+    let not_executed = parts.headers.contains_key(names::NOT_EXECUTED);
+    // A server that rejects a request may omit the attempt id. Such a response is attributed to this request
+    // only on a new connection: after an earlier exchange it may be a surplus response to that one, while
+    // this request runs.
+    let may_lack_id = first_on_connection && (not_executed || status == 421);
+    match identify(&parts.headers, id) {
+        ResponseId::Own => {}
+        ResponseId::Missing if may_lack_id => {}
+        ResponseId::Missing | ResponseId::Other => return None,
     }
-    // These promise that it has not run; without saying so it may have.
-    if matches!(status, 408 | 429 | 503) && !turned_away {
+    // Clients take these statuses to mean that the request was not executed; without the header it may have
+    // been.
+    if matches!(status, 408 | 429 | 503) && !not_executed {
         return None;
     }
     let sealed = parts.headers.contains_key(names::SEAL);
@@ -328,24 +350,24 @@
     {
         return None;
     }
-    let mut held: Vec<u8> = Vec::new();
-    let mut whole = true;
+    let mut buffered: Vec<u8> = Vec::new();
+    let mut complete = true;
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame.ok()?.into_data() {
-            held.extend_from_slice(&data);
-            if held.len() > WHOLE_MAX {
-                whole = false;
+            buffered.extend_from_slice(&data);
+            if buffered.len() > BUFFERED_BODY_MAX {
+                complete = false;
                 break;
             }
         }
     }
     let outcome = match status {
         421 => Outcome::Misdirected,
-        _ if turned_away => Outcome::TurnedAway,
+        _ if not_executed => Outcome::TurnedAway,
         _ => Outcome::Answer(status),
     };
     let head = Response::from_parts(parts, ());
-    let held = Bytes::from(held);
-    let body = if whole { Body::Whole(held) } else { Body::Rest(held, body) };
-    Some((outcome, Some(Answer { head, body }), whole))
+    let buffered = Bytes::from(buffered);
+    let body = if complete { Body::Complete(buffered) } else { Body::Partial(buffered, body) };
+    Some((outcome, Some(ServerResponse { head, body }), complete))
 }
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,23 +1,23 @@
-//! The end of the process after SIGTERM: every request that was read is answered, then it ends.
+//! Graceful shutdown after SIGTERM: every request that was read is answered before the process exits.
 
 use crate::connections::ClientConnections;
 use crate::front::Front;
-use crate::listeners::CLOSE_PATIENCE;
+use crate::listeners::IDLE_BEFORE_CLOSE;
 use std::fmt;
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How often it is looked whether all is answered.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval of the checks whether all requests are answered.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How a process has ended.
+/// The result of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownReport {
-    /// From the signal to the end.
+    /// Time from the signal to the end of the shutdown.
     pub took: Duration,
-    /// Requests that had no answer.
+    /// Requests that were left without a response.
     pub unanswered: usize,
-    /// Clients' connections that were still open.
+    /// Client connections that were still open.
     pub open_connections: usize,
 }
 
@@ -28,31 +28,32 @@
     }
 }
 
-/// Ends a gatekeeper in order, within its grace period. New connections are taken until `stop_accepting` is notified
-/// here; each request that was read gets its answer, and each connection closes after its last one.
+/// Shuts a gatekeeper down within its grace period. New connections are accepted until this function notifies
+/// `stop_accepting`. Each request that was read is answered, and each connection closes after its last
+/// response.
 pub async fn shut_down(
-    front: &Front,
+    shared: &Front,
     connections: &ClientConnections,
     stop_accepting: &Notify,
     grace: Duration,
 ) -> ShutdownReport {
-    let begun = front.now();
-    let drain = front.begin_drain(grace);
-    let mut accepts = true;
+    let started_at = shared.now();
+    let drain = shared.begin_drain(grace);
+    let mut is_accepting = true;
     loop {
-        connections.close_all(CLOSE_PATIENCE);
-        tokio::time::sleep(TICK).await;
-        let now = front.now();
-        if accepts && now >= drain.accepts_until() {
+        connections.close_all(IDLE_BEFORE_CLOSE);
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        let now = shared.now();
+        if is_accepting && now >= drain.accepts_until() {
             stop_accepting.notify_one();
-            accepts = false;
+            is_accepting = false;
             continue;
         }
-        let is_done = !accepts && front.open.get() == 0 && connections.count() == 0;
+        let is_done = !is_accepting && shared.open_requests.get() == 0 && connections.count() == 0;
         if is_done || now >= drain.ends_at() {
             return ShutdownReport {
-                took: Duration::from_millis(now - begun),
-                unanswered: front.open.get(),
+                took: Duration::from_millis(now - started_at),
+                unanswered: shared.open_requests.get(),
                 open_connections: connections.count(),
             };
         }
--- a/crates/proxy/tests/caller.rs
+++ b/crates/proxy/tests/caller.rs
@@ -1,8 +1,8 @@
-//! Every answer reaches the request that it belongs to, and what may run once goes out once: the clients' side, the
-//! journey and the dials over real sockets, against servers that follow a script and keep books. The clock is the
-//! test's own: nothing sleeps, and silence costs no time.
+//! Every response reaches the request that it belongs to, and a request that may run once is executed at most
+//! once. Clients, the forwarding path and the connection pool run over real sockets against scripted servers
+//! that record what arrives. Time is virtual, so waiting costs none.
 //!
-//! What a server puts on a connection is drawn, exchange by exchange; the judgement is by the books alone.
+//! The behavior of the servers is generated exchange by exchange; the checks use only the records.
 
 mod support;
 
@@ -18,142 +18,142 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use support::{configuration, header, hear, turns, Gatekeeper, Heard};
+use support::{configuration, header, read_response, yield_times, ClientResponse, Gatekeeper};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// What a server promises of idle connections, s.
-const PROMISED: u64 = 5;
-/// A body that is passed on as it comes, bytes.
-const LARGE: usize = 600 << 10;
+/// The servers' `Keep-Alive` timeout, seconds.
+const KEEP_ALIVE_S: u64 = 5;
+/// Size of a body that is streamed rather than buffered, bytes.
+const LARGE_BODY: usize = 600 << 10;
 
-/// Whose id an answer carries.
+/// Which attempt id a response carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Name {
+enum ResponseId {
     Own,
     None,
-    /// That of the exchange before on this connection, or of nobody.
-    Other,
+    /// That of the previous exchange on the connection, or an unknown one.
+    Foreign,
     /// Its own and another.
     Both,
 }
 
-/// What turns a request away.
+/// How a server rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Away {
+enum Rejection {
     /// `Not-Executed`, with this status.
     Status(u16),
     /// 421 without it.
     Misdirected,
 }
 
-/// What a server does in one exchange.
+/// How a server behaves in one exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Act {
-    /// Runs it and answers whole.
-    Good {
-        name: Name,
+enum Behavior {
+    /// Executes the request and sends a complete response.
+    Success {
+        carried_id: ResponseId,
         chunked: bool,
         large: bool,
     },
-    /// The same without `Keep-Alive`.
-    Unkept,
-    /// Runs it and answers 500.
-    Fails,
-    /// Does not run it and says so.
-    Away(Away, Name),
-    /// An answer that belongs to no request comes first, then the own one: it runs.
-    Before(Away, Name),
-    BeforeGood(Name),
-    /// It comes behind the own one, after so many turns.
-    After(Away, Name, u8),
-    /// Runs it, and answers as if it had not, without saying so.
-    Unsaid(u16),
-    /// Runs it and breaks off, in the head or the body, by a close or a reset.
-    Cut {
+    /// The same without a `Keep-Alive` header.
+    WithoutKeepAlive,
+    /// Executes it and responds with 500.
+    Failure,
+    /// Does not execute it and says so.
+    Rejects(Rejection, ResponseId),
+    /// Sends a surplus response first and then the proper one, after executing the request.
+    SurplusBefore(Rejection, ResponseId),
+    SurplusSuccessBefore(ResponseId),
+    /// Sends the surplus response after the proper one, after this many yields.
+    SurplusAfter(Rejection, ResponseId, u8),
+    /// Executes it and responds with this status, which clients take for "not executed", without the header.
+    WithoutHeader(u16),
+    /// Executes it and truncates the response in the head or the body, by a close or a reset.
+    Truncates {
         head: bool,
         large: bool,
         reset: bool,
     },
-    /// Runs it and breaks off a body that only its end would end.
+    /// Executes it and truncates a body that is delimited only by the close of the connection.
     Unframed,
-    /// Runs it and sends what is no answer.
+    /// Executes it and sends bytes that are no HTTP response.
     Garbage,
-    /// Runs it and answers without a seal, or encoded.
+    /// Executes it and responds without a seal, or with a content encoding.
     Unsealed,
     Encoded,
-    /// Resets the connection with the request unread, or read and not run.
+    /// Resets the connection with the request unread, or read and not executed.
     ResetUnread,
     ResetRead,
-    /// Runs it and closes, or says nothing more.
+    /// Executes it and closes, or sends nothing more.
     Closes,
     Silent,
-    /// Answers, and then closes or resets after so many turns.
-    Forgets(bool, u8),
-    /// Answers, closes its side, and runs what comes then.
+    /// Responds, and then closes or resets (`true`) the connection after this many yields.
+    ClosesIdle(bool, u8),
+    /// Responds, closes its sending side, and executes what arrives afterwards.
     HalfCloses,
-    /// Answers with `Connection: close`, and runs what comes then.
-    Last,
+    /// Responds with `Connection: close`, and executes what arrives afterwards.
+    ConnectionClose,
 }
 
-const GOOD: Act = Act::Good { name: Name::Own, chunked: false, large: false };
+const SUCCESS: Behavior = Behavior::Success { carried_id: ResponseId::Own, chunked: false, large: false };
 
-/// One request that has come to a server.
+/// One request that has arrived at a server.
 #[derive(Clone, Debug)]
 struct Arrival {
     id: String,
-    act: Act,
+    behavior: Behavior,
     ran: bool,
-    /// It has told its caller, beyond doubt, that it did not run it.
-    said: bool,
-    /// The body of its success.
+    /// Whether the server told the gatekeeper unambiguously that it did not execute the request.
+    reported_not_run: bool,
+    /// The body of a successful response.
     body: Option<String>,
-    /// How many came on this connection before.
-    before: usize,
-    /// Whether it may carry what may run once: it is new, or the last exchange ended well and it rested no longer
-    /// than promised.
-    sound: bool,
+    /// Number of earlier requests on this connection.
+    earlier_requests: usize,
+    /// Whether the connection may carry a request that may run once: it is new, or the last exchange was
+    /// complete and it was idle no longer than promised.
+    is_reusable: bool,
 }
 
-/// What happened in one day.
+/// The script of one scenario and what the servers recorded.
 #[derive(Default)]
-struct Books {
-    script: RefCell<VecDeque<Act>>,
+struct Records {
+    script: RefCell<VecDeque<Behavior>>,
     arrivals: RefCell<Vec<Arrival>>,
     next: Cell<u32>,
-    conversations: RefCell<Vec<JoinHandle<()>>>,
+    connections: RefCell<Vec<JoinHandle<()>>>,
 }
 
-fn head(status: u16, name: Name, id: &str, other: &str, more: &str) -> String {
+fn head(status: u16, carried_id: ResponseId, id: &str, other: &str, more: &str) -> String {
     let mut text = format!("HTTP/1.1 {status} Some\r\n{more}");
-    if matches!(name, Name::Own | Name::Both) {
+    if matches!(carried_id, ResponseId::Own | ResponseId::Both) {
         text += &format!("X-Granitelead-Attempt-Id: {id}\r\n");
     }
-    if matches!(name, Name::Other | Name::Both) {
+    if matches!(carried_id, ResponseId::Foreign | ResponseId::Both) {
         text += &format!("X-Granitelead-Attempt-Id: {other}\r\n");
     }
     text
 }
 
-fn away(how: Away, name: Name, id: &str, other: &str) -> String {
+fn rejection_response(how: Rejection, carried_id: ResponseId, id: &str, other: &str) -> String {
     let (status, more) = match how {
-        Away::Status(status) => (status, "X-Granitelead-Not-Executed: 1\r\n"),
-        Away::Misdirected => (421, "X-Granitelead-Instance-Id: i-other\r\n"),
+        Rejection::Status(status) => (status, "X-Granitelead-Not-Executed: 1\r\n"),
+        Rejection::Misdirected => (421, "X-Granitelead-Instance-Id: i-other\r\n"),
     };
-    let kept = format!("{more}Keep-Alive: timeout={PROMISED}\r\n");
-    head(status, name, id, other, &kept) + "Content-Length: 0\r\n\r\n"
+    let kept = format!("{more}Keep-Alive: timeout={KEEP_ALIVE_S}\r\n");
+    head(status, carried_id, id, other, &kept) + "Content-Length: 0\r\n\r\n"
 }
 
 const SEAL: &str = "X-Granitelead-Server-Seal: s\r\n";
 
-fn good(name: Name, id: &str, other: &str, body: &str, more: &str) -> String {
-    let head = head(200, name, id, other, &format!("{SEAL}{more}"));
+fn success_response(carried_id: ResponseId, id: &str, other: &str, body: &str, more: &str) -> String {
+    let head = head(200, carried_id, id, other, &format!("{SEAL}{more}"));
     format!("{head}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A request whose head has come: its id, and how many bytes it has.
+/// Parses a request whose head has arrived: its attempt id, and its size in bytes.
 fn request(bytes: &[u8]) -> Option<(String, usize)> {
     let text = String::from_utf8_lossy(bytes);
     let head = text.split_once("\r\n\r\n")?.0;
@@ -161,30 +161,37 @@
     Some((header(head, "x-granitelead-attempt-id").unwrap_or_default(), head.len() + 4 + length))
 }
 
-/// Closes a connection; what comes after is reset.
+/// Closes a connection; bytes that arrive afterwards are answered with a reset.
 async fn close(mut stream: TcpStream) {
     let _ = stream.shutdown().await;
     let _ = stream.read(&mut [0]).await;
 }
 
 /// A server's side of one connection.
-async fn converse(books: Rc<Books>, mut stream: TcpStream) {
+async fn serve_connection(records: Rc<Records>, mut stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    // What is dropped is reset, so that no port stays taken; whoever closes says so.
+    // A dropped socket is reset, so that no port stays in TIME_WAIT; orderly closes are explicit.
     let _ = stream.set_zero_linger();
-    let mut last = "nobody".to_owned();
-    // When the last exchange ended, if it ended well.
+    let mut previous_id = "unknown".to_owned();
+    // When the last exchange ended, if it was complete.
     let mut ended: Option<Instant> = None;
-    let mut answers = true;
+    let mut responds = true;
     let mut bytes = vec![0; 8 << 10];
     for before in 0.. {
-        let limit = Duration::from_secs(if before == 0 { 600 } else { PROMISED });
+        let limit = Duration::from_secs(if before == 0 { 600 } else { KEEP_ALIVE_S });
         let Ok(Ok(1..)) = timeout(limit, stream.peek(&mut bytes)).await else { return };
-        let act = if answers { books.script.borrow_mut().pop_front().unwrap_or(GOOD) } else { Act::Closes };
-        // Unnamed, and first on its connection, it would be this request's own: that it was not run, and it runs.
-        let act = match act {
-            Act::Before(how, Name::None) if before == 0 => Act::Before(how, Name::Other),
-            act => act,
+        let behavior = if responds {
+            records.script.borrow_mut().pop_front().unwrap_or(SUCCESS)
+        } else {
+            Behavior::Closes
+        };
+        // Without an id on a new connection, the surplus rejection would count as the request's own response,
+        // although the request is executed.
+        let behavior = match behavior {
+            Behavior::SurplusBefore(how, ResponseId::None) if before == 0 => {
+                Behavior::SurplusBefore(how, ResponseId::Foreign)
+            }
+            behavior => behavior,
         };
         let mut read = 0;
         let (id, _) = loop {
@@ -192,7 +199,7 @@
                 Some((id, size)) if read >= size => break (id, size),
                 _ => {}
             }
-            if act == Act::ResetUnread {
+            if behavior == Behavior::ResetUnread {
                 let seen = stream.peek(&mut bytes).await.unwrap_or(0);
                 let Some(seen) = request(&bytes[..seen]) else { return };
                 break seen;
@@ -202,351 +209,404 @@
                 Ok(n) => read += n,
             }
         };
-        let number = books.next.replace(books.next.get() + 1);
+        let number = records.next.replace(records.next.get() + 1);
         let body = format!("{id} ran as {number}");
-        let rested = ended.take().map(|at| at.elapsed());
-        let sound = before == 0 || rested.is_some_and(|rested| rested < Duration::from_secs(PROMISED));
-        let unnamed = |name| name == Name::None && before == 0;
-        let (ran, said) = match act {
-            Act::Away(_, name) => (false, name == Name::Own || unnamed(name)),
-            Act::ResetUnread | Act::ResetRead => (false, false),
+        let idle_for = ended.take().map(|at| at.elapsed());
+        let is_reusable =
+            before == 0 || idle_for.is_some_and(|idle_for| idle_for < Duration::from_secs(KEEP_ALIVE_S));
+        let is_own_without_id = |carried_id| carried_id == ResponseId::None && before == 0;
+        let (ran, reported_not_run) = match behavior {
+            Behavior::Rejects(_, carried_id) => {
+                (false, carried_id == ResponseId::Own || is_own_without_id(carried_id))
+            }
+            Behavior::ResetUnread | Behavior::ResetRead => (false, false),
             _ => (true, false),
         };
-        let large = matches!(act, Act::Good { large: true, .. } | Act::Cut { large: true, .. });
-        let body = if large { body + &"x".repeat(LARGE) } else { body };
-        let own = matches!(
-            act,
-            Act::Good { name: Name::Own, .. }
-                | Act::Unkept
-                | Act::BeforeGood(_)
-                | Act::Before(..)
-                | Act::After(..)
-                | Act::Forgets(..)
-                | Act::HalfCloses
-                | Act::Last
+        let large = matches!(
+            behavior,
+            Behavior::Success { large: true, .. } | Behavior::Truncates { large: true, .. }
+        );
+        let body = if large { body + &"x".repeat(LARGE_BODY) } else { body };
+        let is_success = matches!(
+            behavior,
+            Behavior::Success { carried_id: ResponseId::Own, .. }
+                | Behavior::WithoutKeepAlive
+                | Behavior::SurplusSuccessBefore(_)
+                | Behavior::SurplusBefore(..)
+                | Behavior::SurplusAfter(..)
+                | Behavior::ClosesIdle(..)
+                | Behavior::HalfCloses
+                | Behavior::ConnectionClose
         );
         let arrival = Arrival {
             id: id.clone(),
-            act,
+            behavior,
             ran,
-            said,
-            body: (own && answers).then(|| body.clone()),
-            before,
-            sound,
+            reported_not_run,
+            body: (is_success && responds).then(|| body.clone()),
+            earlier_requests: before,
+            is_reusable,
         };
-        books.arrivals.borrow_mut().push(arrival);
-        let kept = format!("Keep-Alive: timeout={PROMISED}\r\n");
-        let whole = |more: &str| good(Name::Own, &id, &last, &body, more);
-        let text = match act {
-            Act::Good { name, chunked: true, .. } => {
-                let head =
-                    head(200, name, &id, &last, &format!("{SEAL}{kept}Transfer-Encoding: chunked\r\n"));
+        records.arrivals.borrow_mut().push(arrival);
+        let kept = format!("Keep-Alive: timeout={KEEP_ALIVE_S}\r\n");
+        let success = |more: &str| success_response(ResponseId::Own, &id, &previous_id, &body, more);
+        let text = match behavior {
+            Behavior::Success { carried_id, chunked: true, .. } => {
+                let head = head(
+                    200,
+                    carried_id,
+                    &id,
+                    &previous_id,
+                    &format!("{SEAL}{kept}Transfer-Encoding: chunked\r\n"),
+                );
                 format!("{head}\r\n{:x}\r\n{body}\r\n0\r\n\r\n", body.len())
             }
-            Act::Good { name, .. } => good(name, &id, &last, &body, &kept),
-            Act::Unkept => whole(""),
-            Act::Fails => {
-                let head = head(500, Name::Own, &id, &last, &kept);
+            Behavior::Success { carried_id, .. } => {
+                success_response(carried_id, &id, &previous_id, &body, &kept)
+            }
+            Behavior::WithoutKeepAlive => success(""),
+            Behavior::Failure => {
+                let head = head(500, ResponseId::Own, &id, &previous_id, &kept);
                 format!("{head}Content-Length: {}\r\n\r\n{body}", body.len())
             }
-            Act::Away(how, name) => away(how, name, &id, &last),
-            Act::Before(how, name) => away(how, name, &id, &last) + &whole(&kept),
-            Act::BeforeGood(name) => good(name, &id, &last, "another's", &kept) + &whole(&kept),
-            Act::After(..) | Act::Forgets(..) | Act::HalfCloses => whole(&kept),
-            Act::Unsaid(status) => head(status, Name::Own, &id, &last, &kept) + "Content-Length: 0\r\n\r\n",
-            Act::Cut { head, .. } => {
-                let mut text = whole(&kept);
+            Behavior::Rejects(how, carried_id) => rejection_response(how, carried_id, &id, &previous_id),
+            Behavior::SurplusBefore(how, carried_id) => {
+                rejection_response(how, carried_id, &id, &previous_id) + &success(&kept)
+            }
+            Behavior::SurplusSuccessBefore(carried_id) => {
+                success_response(carried_id, &id, &previous_id, "another's", &kept) + &success(&kept)
+            }
+            Behavior::SurplusAfter(..) | Behavior::ClosesIdle(..) | Behavior::HalfCloses => success(&kept),
+            Behavior::WithoutHeader(status) => {
+                head(status, ResponseId::Own, &id, &previous_id, &kept) + "Content-Length: 0\r\n\r\n"
+            }
+            Behavior::Truncates { head, .. } => {
+                let mut text = success(&kept);
                 text.truncate(if head { 40 } else { text.len() - 3 });
                 text
             }
-            Act::Unframed => head(200, Name::Own, &id, &last, SEAL) + "\r\n" + &body[..3],
-            Act::Garbage => "\u{1}\u{2} no answer\r\n\r\n".to_owned(),
-            Act::Unsealed => head(200, Name::Own, &id, &last, "Content-Length: 1\r\n") + "\r\nx",
-            Act::Encoded => whole("Content-Encoding: gzip\r\n"),
-            Act::Last => whole("Connection: close\r\n"),
-            Act::ResetUnread | Act::ResetRead | Act::Closes | Act::Silent => String::new(),
+            Behavior::Unframed => head(200, ResponseId::Own, &id, &previous_id, SEAL) + "\r\n" + &body[..3],
+            Behavior::Garbage => "\u{1}\u{2} no answer\r\n\r\n".to_owned(),
+            Behavior::Unsealed => {
+                head(200, ResponseId::Own, &id, &previous_id, "Content-Length: 1\r\n") + "\r\nx"
+            }
+            Behavior::Encoded => success("Content-Encoding: gzip\r\n"),
+            Behavior::ConnectionClose => success("Connection: close\r\n"),
+            Behavior::ResetUnread | Behavior::ResetRead | Behavior::Closes | Behavior::Silent => {
+                String::new()
+            }
         };
         if stream.write_all(text.as_bytes()).await.is_err() {
             return;
         }
-        match act {
-            Act::After(how, name, n) => {
-                // At once it is there before anything else can be sent; later the next request may be on its way.
+        match behavior {
+            Behavior::SurplusAfter(how, carried_id, n) => {
+                // Without yields it arrives before anything else can be sent; later the next request may be
+                // in transit.
                 ended = (n > 0).then(Instant::now);
-                turns(n.into()).await;
-                if stream.write_all(away(how, name, &id, &id).as_bytes()).await.is_err() {
+                yield_times(n.into()).await;
+                if stream.write_all(rejection_response(how, carried_id, &id, &id).as_bytes()).await.is_err() {
                     return;
                 }
             }
-            Act::Cut { reset, .. } | Act::Forgets(reset, _) => {
-                if let Act::Forgets(_, n) = act {
-                    turns(n.into()).await;
+            Behavior::Truncates { reset, .. } | Behavior::ClosesIdle(reset, _) => {
+                if let Behavior::ClosesIdle(_, n) = behavior {
+                    yield_times(n.into()).await;
                 }
                 if !reset {
                     close(stream).await;
                 }
                 return;
             }
-            Act::ResetUnread | Act::ResetRead => return,
-            Act::Unframed | Act::Closes => return close(stream).await,
-            Act::HalfCloses => {
+            Behavior::ResetUnread | Behavior::ResetRead => return,
+            Behavior::Unframed | Behavior::Closes => return close(stream).await,
+            Behavior::HalfCloses => {
                 let _ = stream.shutdown().await;
-                answers = false;
+                responds = false;
             }
-            Act::Last | Act::Silent => answers = false,
-            Act::Good { name: Name::Own, .. } | Act::Fails | Act::Away(_, Name::Own) => {
+            Behavior::ConnectionClose | Behavior::Silent => responds = false,
+            Behavior::Success { carried_id: ResponseId::Own, .. }
+            | Behavior::Failure
+            | Behavior::Rejects(_, ResponseId::Own) => {
                 ended = Some(Instant::now());
             }
-            Act::Away(_, Name::None) if before == 0 => ended = Some(Instant::now()),
+            Behavior::Rejects(_, ResponseId::None) if before == 0 => ended = Some(Instant::now()),
             _ => {}
         }
-        last = id;
+        previous_id = id;
     }
 }
 
 /// One request of a client.
 #[derive(Clone, Copy, Debug)]
-struct Ask {
+struct RequestSpec {
     once: bool,
     /// Bytes of its body, if it has one.
     body: Option<u16>,
 }
 
-/// How a client goes on after it has sent.
+/// What a client does after sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Then {
+enum AfterSending {
     Reads,
-    /// Closes its side and reads.
+    /// Closes its sending side and reads.
     HalfCloses,
-    /// Resets after so many turns.
+    /// Resets the connection after this many yields.
     Resets(u8),
 }
 
 /// What a client sends at once.
 #[derive(Clone, Debug)]
 struct Round {
-    /// How long it rests before, ms.
-    rest: u16,
-    asks: Vec<Ask>,
-    then: Then,
+    /// Pause before sending, ms.
+    pause_ms: u16,
+    requests: Vec<RequestSpec>,
+    after_sending: AfterSending,
 }
 
-/// What clients asked, and what they heard.
+/// What clients sent and received.
 #[derive(Default)]
-struct Asked {
+struct Observed {
     once: BTreeMap<String, bool>,
-    heard: Vec<(String, Heard)>,
-    /// Sent behind an answer that closes the connection: not read, by what was agreed, and sent again. None of them may
-    /// have been passed on.
-    behind: Vec<String>,
-    /// Bytes that came while no request waited.
-    unasked: usize,
-    /// The gatekeeper has been told to end, and may take no connections any more.
-    told_to_end: bool,
+    responses: Vec<(String, ClientResponse)>,
+    /// Requests sent behind one whose response closes the connection. By the protocol they were not read, and
+    /// the client would send them again, so none of them may have been forwarded.
+    after_close: Vec<String>,
+    /// Bytes received while no request was waiting.
+    surplus_bytes: usize,
+    /// The gatekeeper is shutting down and may refuse connections.
+    is_shutting_down: bool,
 }
 
-/// A client that keeps its connection as long as it lasts.
-async fn client(front: SocketAddr, number: usize, rounds: Vec<Round>, asked: Rc<RefCell<Asked>>) {
-    let mut held: Option<TcpStream> = None;
+/// A client that reuses its connection while it is open.
+async fn client(gatekeeper: SocketAddr, number: usize, rounds: Vec<Round>, observed: Rc<RefCell<Observed>>) {
+    let mut open_connection: Option<TcpStream> = None;
     for (r, round) in rounds.into_iter().enumerate() {
-        sleep(Duration::from_millis(round.rest.into())).await;
-        let mut stream = match held.take() {
+        sleep(Duration::from_millis(round.pause_ms.into())).await;
+        let mut stream = match open_connection.take() {
             Some(stream) => stream,
-            None => match TcpStream::connect(front).await {
+            None => match TcpStream::connect(gatekeeper).await {
                 Ok(stream) => stream,
-                Err(_) if asked.borrow().told_to_end => return,
+                Err(_) if observed.borrow().is_shutting_down => return,
                 Err(e) => panic!("the gatekeeper takes connections: {e}"),
             },
         };
         let _ = stream.set_zero_linger();
         let mut text = String::new();
         let mut ids = Vec::new();
-        for (a, ask) in round.asks.iter().enumerate() {
+        for (a, request) in round.requests.iter().enumerate() {
             let id = format!("id-{number}-{r}-{a}");
-            let (method, length) = match ask.body {
+            let (method, length) = match request.body {
                 Some(length) => ("POST", format!("Content-Length: {length}\r\n")),
                 None => ("GET", String::new()),
             };
-            let path = if ask.once { "once" } else { "safe" };
+            let path = if request.once { "once" } else { "safe" };
             text += &format!(
                 "{method} /{path}/{id} HTTP/1.1\r\nHost: h.example\r\nX-Granitelead-Attempt-Id: {id}\r\n\
                  X-Granitelead-Deadline-Milliseconds: 3000\r\n{length}\r\n{}",
-                "b".repeat(ask.body.unwrap_or(0).into())
+                "b".repeat(request.body.unwrap_or(0).into())
             );
-            asked.borrow_mut().once.insert(id.clone(), ask.once);
+            observed.borrow_mut().once.insert(id.clone(), request.once);
             ids.push(id);
         }
         if stream.write_all(text.as_bytes()).await.is_err() {
             continue;
         }
-        match round.then {
-            Then::Reads => {}
-            Then::HalfCloses => drop(stream.shutdown().await),
-            Then::Resets(n) => {
-                turns(n.into()).await;
+        match round.after_sending {
+            AfterSending::Reads => {}
+            AfterSending::HalfCloses => drop(stream.shutdown().await),
+            AfterSending::Resets(n) => {
+                yield_times(n.into()).await;
                 continue;
             }
         }
         let mut bytes = Vec::new();
-        let mut whole = round.then == Then::Reads;
+        let mut is_reusable = round.after_sending == AfterSending::Reads;
         let mut ids = ids.into_iter();
         while let Some(id) = ids.next() {
-            match hear(&mut stream, &mut bytes).await {
-                Some(heard) => {
-                    if heard.closes {
-                        asked.borrow_mut().behind.extend(ids.clone());
-                        whole = false;
+            match read_response(&mut stream, &mut bytes).await {
+                Some(response) => {
+                    if response.closes {
+                        observed.borrow_mut().after_close.extend(ids.clone());
+                        is_reusable = false;
                     }
-                    asked.borrow_mut().heard.push((id, heard));
+                    observed.borrow_mut().responses.push((id, response));
                 }
                 None => {
-                    whole = false;
+                    is_reusable = false;
                     break;
                 }
             }
         }
-        if whole {
-            asked.borrow_mut().unasked += bytes.len();
-            held = Some(stream);
+        if is_reusable {
+            observed.borrow_mut().surplus_bytes += bytes.len();
+            open_connection = Some(stream);
         }
     }
 }
 
-/// Plays one day: what servers do in the order in which requests come to them, and what clients send. At the end of
-/// the round `leaves` of the first client the gatekeeper is told to end, as by SIGTERM.
-fn play(script: Vec<Act>, rounds: Vec<Vec<Round>>, leaves: Option<u16>, seed: u64) -> (Rc<Books>, Asked) {
+/// Runs one scenario: the script of the servers, in the order in which requests arrive, and what clients
+/// send. With `shut_down_at`, the gatekeeper shuts down as after SIGTERM at a time derived from this number.
+fn run_scenario(
+    script: Vec<Behavior>,
+    rounds: Vec<Vec<Round>>,
+    shut_down_at: Option<u16>,
+    seed: u64,
+) -> (Rc<Records>, Observed) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
     LocalSet::new().block_on(&runtime, async move {
-        let books = Rc::new(Books { script: RefCell::new(script.into()), ..Books::default() });
+        let records = Rc::new(Records { script: RefCell::new(script.into()), ..Records::default() });
         let mut servers = Vec::new();
         for _ in 0..3 {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             servers.push(listener.local_addr().unwrap());
-            let books = books.clone();
+            let records = records.clone();
             spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    let conversation = spawn_local(converse(books.clone(), stream));
-                    books.conversations.borrow_mut().push(conversation);
+                    let connection = spawn_local(serve_connection(records.clone(), stream));
+                    records.connections.borrow_mut().push(connection);
                 }
             });
         }
         let gatekeeper = Rc::new(Gatekeeper::start(configuration(3_000, 3), &servers, seed).await);
         let at = gatekeeper.address;
-        let asked = Rc::new(RefCell::new(Asked::default()));
+        let observed = Rc::new(RefCell::new(Observed::default()));
         let all = rounds.into_iter().enumerate();
         let tasks: Vec<_> =
-            all.map(|(n, rounds)| spawn_local(client(at, n, rounds, asked.clone()))).collect();
-        if let Some(after) = leaves {
-            turns(usize::from(after % 256)).await;
+            all.map(|(n, rounds)| spawn_local(client(at, n, rounds, observed.clone()))).collect();
+        if let Some(after) = shut_down_at {
+            yield_times(usize::from(after % 256)).await;
             sleep(Duration::from_millis(u64::from(after / 256) * 20)).await;
-            asked.borrow_mut().told_to_end = true;
+            observed.borrow_mut().is_shutting_down = true;
             let gatekeeper = gatekeeper.clone();
             spawn_local(async move { gatekeeper.terminate().await });
         }
         for task in tasks {
             task.await.unwrap();
         }
-        while gatekeeper.front.open.get() > 0 {
+        while gatekeeper.shared.open_requests.get() > 0 {
             sleep(Duration::from_millis(100)).await;
         }
-        let conversations = books.conversations.take();
-        for done in conversations.into_iter().filter(JoinHandle::is_finished) {
-            done.await.expect("no server fails by itself");
+        let connections = records.connections.take();
+        for done in connections.into_iter().filter(JoinHandle::is_finished) {
+            done.await.expect("no server task panics");
         }
-        (books, asked.take())
+        (records, observed.take())
     })
 }
 
-/// What the books say against what clients heard: every broken rule.
-fn faults(books: &Books, asked: &Asked) -> Vec<String> {
-    let mut found = Vec::new();
-    let arrivals = books.arrivals.borrow();
-    for (id, once) in asked.once.iter().filter(|(_, once)| **once) {
+/// Checks what clients received against the records of the servers; returns every violation.
+fn violations(records: &Records, observed: &Observed) -> Vec<String> {
+    let mut violations = Vec::new();
+    let arrivals = records.arrivals.borrow();
+    for (id, once) in observed.once.iter().filter(|(_, once)| **once) {
         let own: Vec<&Arrival> = arrivals.iter().filter(|a| a.id == *id).collect();
-        for earlier in own.iter().rev().skip(1).filter(|a| a.ran || !a.said) {
-            found.push(format!("{id} ({once}) went out again after {earlier:?}"));
+        for earlier in own.iter().rev().skip(1).filter(|a| a.ran || !a.reported_not_run) {
+            violations.push(format!("{id} ({once}) was sent again after {earlier:?}"));
         }
-        for on in own.iter().filter(|a| !a.sound) {
-            found.push(format!("{id} went on a connection that may end: {on:?}"));
+        for arrival in own.iter().filter(|a| !a.is_reusable) {
+            violations.push(format!("{id} was sent on a connection that may close: {arrival:?}"));
         }
     }
-    for (id, heard) in &asked.heard {
+    for (id, response) in &observed.responses {
         let mut own = arrivals.iter().filter(|a| a.id == *id);
-        if heard.name.as_ref().is_some_and(|name| name != id) {
-            found.push(format!("{id} heard another's answer: {}", heard.status));
+        if response.attempt_id.as_ref().is_some_and(|attempt_id| attempt_id != id) {
+            violations.push(format!("{id} received the response of another request: {}", response.status));
         }
-        match heard.status {
-            200..=299 if heard.name.is_some() && own.any(|a| a.body.as_ref() == Some(&heard.body)) => {}
-            200..=299 => found.push(format!("{id} heard a success that no server gave: {}", heard.body)),
+        match response.status {
+            200..=299
+                if response.attempt_id.is_some() && own.any(|a| a.body.as_ref() == Some(&response.body)) => {}
+            200..=299 => {
+                violations.push(format!("{id} received a success that no server sent: {}", response.body))
+            }
             408 | 421 | 429 | 503 => {
-                found.extend(own.filter(|a| a.ran).map(|a| format!("{id} heard {}: {a:?}", heard.status)));
+                violations.extend(
+                    own.filter(|a| a.ran)
+                        .map(|a| format!("{id} was executed and received {}: {a:?}", response.status)),
+                );
             }
-            500 if heard.name.is_none() || !heard.body.starts_with(&format!("{id} ran")) => {
-                found.push(format!("{id} heard another's failure: {}", heard.body));
+            500 if response.attempt_id.is_none() || !response.body.starts_with(&format!("{id} ran")) => {
+                violations.push(format!("{id} received the failure of another request: {}", response.body));
             }
             _ => {}
         }
     }
-    for id in &asked.behind {
-        found.extend(
-            arrivals.iter().filter(|a| a.id == *id).map(|a| format!("{id} is sent again, after {a:?}")),
+    for id in &observed.after_close {
+        violations.extend(
+            arrivals
+                .iter()
+                .filter(|a| a.id == *id)
+                .map(|a| format!("{id} was forwarded although it was not answered: {a:?}")),
         );
     }
-    if asked.unasked > 0 {
-        found.push(format!("{} bytes that nobody asked for", asked.unasked));
+    if observed.surplus_bytes > 0 {
+        violations.push(format!("{} surplus bytes after the last response", observed.surplus_bytes));
     }
-    found
+    violations
 }
 
-fn any_name() -> impl Strategy<Value = Name> {
-    prop_oneof![Just(Name::Own), Just(Name::None), Just(Name::Other), Just(Name::Both)]
+fn any_response_id() -> impl Strategy<Value = ResponseId> {
+    prop_oneof![
+        Just(ResponseId::Own),
+        Just(ResponseId::None),
+        Just(ResponseId::Foreign),
+        Just(ResponseId::Both)
+    ]
 }
 
-fn any_away() -> impl Strategy<Value = Away> {
-    prop_oneof![Just(Away::Status(503)), Just(Away::Status(429)), Just(Away::Misdirected)]
+fn any_rejection() -> impl Strategy<Value = Rejection> {
+    prop_oneof![Just(Rejection::Status(503)), Just(Rejection::Status(429)), Just(Rejection::Misdirected)]
 }
 
-fn any_act() -> impl Strategy<Value = Act> {
-    let foreign = || prop_oneof![Just(Name::None), Just(Name::Other)];
+fn any_behavior() -> impl Strategy<Value = Behavior> {
+    let foreign = || prop_oneof![Just(ResponseId::None), Just(ResponseId::Foreign)];
     prop_oneof![
         16 => (any::<bool>(), proptest::bool::weighted(0.02))
-            .prop_map(|(chunked, large)| Act::Good { name: Name::Own, chunked: chunked && !large, large }),
-        1 => any_name().prop_map(|name| Act::Good { name, chunked: false, large: false }),
-        1 => Just(Act::Unkept),
-        1 => Just(Act::Fails),
-        4 => (any_away(), any_name()).prop_map(|(how, name)| Act::Away(how, name)),
-        4 => (any_away(), foreign()).prop_map(|(how, name)| Act::Before(how, name)),
-        1 => foreign().prop_map(Act::BeforeGood),
-        3 => (any_away(), any_name(), 0_u8..12).prop_map(|(how, name, n)| Act::After(how, name, n)),
-        1 => prop_oneof![Just(408), Just(429), Just(503)].prop_map(Act::Unsaid),
+            .prop_map(|(chunked, large)| {
+                Behavior::Success { carried_id: ResponseId::Own, chunked: chunked && !large, large }
+            }),
+        1 => any_response_id()
+            .prop_map(|carried_id| Behavior::Success { carried_id, chunked: false, large: false }),
+        1 => Just(Behavior::WithoutKeepAlive),
+        1 => Just(Behavior::Failure),
+        4 => (any_rejection(), any_response_id()).prop_map(|(how, id)| Behavior::Rejects(how, id)),
+        4 => (any_rejection(), foreign()).prop_map(|(how, id)| Behavior::SurplusBefore(how, id)),
+        1 => foreign().prop_map(Behavior::SurplusSuccessBefore),
+        3 => (any_rejection(), any_response_id(), 0_u8..12)
+            .prop_map(|(how, id, n)| Behavior::SurplusAfter(how, id, n)),
+        1 => prop_oneof![Just(408), Just(429), Just(503)].prop_map(Behavior::WithoutHeader),
         2 => (any::<bool>(), proptest::bool::weighted(0.1), any::<bool>())
-            .prop_map(|(head, large, reset)| Act::Cut { head, large, reset }),
-        1 => Just(Act::Unframed),
-        1 => Just(Act::Garbage),
-        1 => prop_oneof![Just(Act::Unsealed), Just(Act::Encoded)],
-        2 => prop_oneof![Just(Act::ResetUnread), Just(Act::ResetRead)],
-        2 => prop_oneof![Just(Act::Closes), Just(Act::Silent)],
-        2 => (any::<bool>(), 0_u8..12).prop_map(|(reset, n)| Act::Forgets(reset, n)),
-        2 => prop_oneof![Just(Act::HalfCloses), Just(Act::Last)],
+            .prop_map(|(head, large, reset)| Behavior::Truncates { head, large, reset }),
+        1 => Just(Behavior::Unframed),
+        1 => Just(Behavior::Garbage),
+        1 => prop_oneof![Just(Behavior::Unsealed), Just(Behavior::Encoded)],
+        2 => prop_oneof![Just(Behavior::ResetUnread), Just(Behavior::ResetRead)],
+        2 => prop_oneof![Just(Behavior::Closes), Just(Behavior::Silent)],
+        2 => (any::<bool>(), 0_u8..12).prop_map(|(reset, n)| Behavior::ClosesIdle(reset, n)),
+        2 => prop_oneof![Just(Behavior::HalfCloses), Just(Behavior::ConnectionClose)],
     ]
 }
 
 fn any_round() -> impl Strategy<Value = Round> {
-    let ask = (any::<bool>(), proptest::option::weighted(0.3, 0_u16..2_000))
-        .prop_map(|(once, body)| Ask { once, body });
-    let then = prop_oneof![
-        8 => Just(Then::Reads),
-        1 => Just(Then::HalfCloses),
-        1 => (0_u8..40).prop_map(Then::Resets),
+    let request = (any::<bool>(), proptest::option::weighted(0.3, 0_u16..2_000))
+        .prop_map(|(once, body)| RequestSpec { once, body });
+    let after_sending = prop_oneof![
+        8 => Just(AfterSending::Reads),
+        1 => Just(AfterSending::HalfCloses),
+        1 => (0_u8..40).prop_map(AfterSending::Resets),
     ];
-    let rest = prop_oneof![4 => Just(0_u16), 1 => 1_u16..2_000, 1 => 2_000_u16..9_000];
-    (rest, vec(ask, 1..4), then).prop_map(|(rest, asks, then)| Round { rest, asks, then })
+    let pause_ms = prop_oneof![4 => Just(0_u16), 1 => 1_u16..2_000, 1 => 2_000_u16..9_000];
+    (pause_ms, vec(request, 1..4), after_sending).prop_map(|(pause_ms, requests, after_sending)| Round {
+        pause_ms,
+        requests,
+        after_sending,
+    })
 }
 
 #[gtest]
-fn whatever_servers_put_on_connections_each_answer_reaches_its_caller_and_nothing_runs_twice() {
-    // The same cases each time; GRANITELEAD_CASES asks for more.
+fn each_response_reaches_its_client_and_no_request_runs_twice_whatever_servers_send() {
+    // A fixed seed, so the same cases each time; GRANITELEAD_CASES sets their number.
     let cases = std::env::var("GRANITELEAD_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(1_000);
     let mut runner = TestRunner::new(Config {
         cases,
@@ -555,165 +615,170 @@
         ..Config::default()
     });
     let clients = vec(vec(any_round(), 1..12), 1..3);
-    // Some of it is what all servers do in turn.
-    let acts = prop_oneof![
-        14 => any_act().prop_map(|act| vec![act]),
-        1 => any_act().prop_map(|act| vec![act; 3]),
-        1 => any_away().prop_map(|how| vec![Act::Away(how, Name::Own); 3]),
+    // Some behaviors are repeated, so that all three servers behave the same.
+    let behaviors = prop_oneof![
+        14 => any_behavior().prop_map(|behavior| vec![behavior]),
+        1 => any_behavior().prop_map(|behavior| vec![behavior; 3]),
+        1 => any_rejection().prop_map(|how| vec![Behavior::Rejects(how, ResponseId::Own); 3]),
     ];
-    let script = vec(acts, 0..32).prop_map(|acts| acts.concat());
-    let leaves = proptest::option::weighted(0.2, any::<u16>());
-    let day = (script, clients, leaves, any::<u64>());
-    // Requests, answers, successes, promises, exchanges on a used connection; and what came behind each act.
-    let (counts, acts) = (RefCell::new([0_u32; 5]), RefCell::new(BTreeMap::<String, u32>::new()));
-    let ran = runner.run(&day, |(script, rounds, leaves, seed)| {
-        let (books, asked) = play(script, rounds, leaves, seed);
-        let (mut counts, mut acts) = (counts.borrow_mut(), acts.borrow_mut());
-        let promised = |heard: &&(String, Heard)| matches!(heard.1.status, 429 | 503);
-        let arrivals = books.arrivals.borrow();
-        counts[0] += asked.once.len() as u32;
-        counts[1] += asked.heard.len() as u32;
-        counts[2] += asked.heard.iter().filter(|(_, heard)| heard.status == 200).count() as u32;
-        counts[3] += asked.heard.iter().filter(promised).count() as u32;
-        counts[4] += arrivals.iter().filter(|a| a.before > 0).count() as u32;
+    let script = vec(behaviors, 0..32).prop_map(|behaviors| behaviors.concat());
+    let shut_down_at = proptest::option::weighted(0.2, any::<u16>());
+    let scenario = (script, clients, shut_down_at, any::<u64>());
+    // Requests, responses, successes, rejections, exchanges on a used connection; and exchanges by behavior.
+    let (counts, behaviors) = (RefCell::new([0_u32; 5]), RefCell::new(BTreeMap::<String, u32>::new()));
+    let result = runner.run(&scenario, |(script, rounds, shut_down_at, seed)| {
+        let (records, observed) = run_scenario(script, rounds, shut_down_at, seed);
+        let (mut counts, mut behaviors) = (counts.borrow_mut(), behaviors.borrow_mut());
+        let is_rejection = |response: &&(String, ClientResponse)| matches!(response.1.status, 429 | 503);
+        let arrivals = records.arrivals.borrow();
+        counts[0] += observed.once.len() as u32;
+        counts[1] += observed.responses.len() as u32;
+        counts[2] += observed.responses.iter().filter(|(_, response)| response.status == 200).count() as u32;
+        counts[3] += observed.responses.iter().filter(is_rejection).count() as u32;
+        counts[4] += arrivals.iter().filter(|a| a.earlier_requests > 0).count() as u32;
         for arrival in arrivals.iter() {
-            let name = format!("{:?}", arrival.act);
+            let name = format!("{:?}", arrival.behavior);
             let name = name.split([' ', '(']).next().unwrap_or_default().to_owned();
-            *acts
-                .entry(format!("{name} {}", if arrival.before > 0 { "used" } else { "new" }))
+            *behaviors
+                .entry(format!("{name} {}", if arrival.earlier_requests > 0 { "used" } else { "new" }))
                 .or_default() += 1;
         }
-        let found = faults(&books, &asked);
-        proptest::prop_assert!(found.is_empty(), "{found:#?}");
+        let violations = violations(&records, &observed);
+        proptest::prop_assert!(violations.is_empty(), "{violations:#?}");
         Ok(())
     });
-    if let Err(fault) = ran {
-        panic!("{fault}");
+    if let Err(failure) = result {
+        panic!("{failure}");
     }
-    let [requests, answers, successes, promises, used] = counts.into_inner();
+    let [requests, responses, successes, rejections, used] = counts.into_inner();
     println!(
-        "{requests} requests, {answers} answers, {successes} successes, {promises} promises, {used} on used"
+        "{requests} requests, {responses} responses, {successes} successes, {rejections} rejections, \
+         {used} on used connections"
     );
-    println!("{:?}", acts.borrow());
-    // The days are no empty ones.
-    expect_that!(answers * 10, ge(requests * 5));
+    println!("{:?}", behaviors.borrow());
+    // The scenarios must contain enough of each kind.
+    expect_that!(responses * 10, ge(requests * 5));
     expect_that!(successes * 10, ge(requests * 3));
-    expect_that!(promises, ge(requests / 400));
+    expect_that!(rejections, ge(requests / 400));
     expect_that!(used, ge(requests / 4));
 }
 
-fn reads(asks: &[Ask], rest: u16) -> Round {
-    Round { rest, asks: asks.to_vec(), then: Then::Reads }
+fn round(requests: &[RequestSpec], pause_ms: u16) -> Round {
+    Round { pause_ms, requests: requests.to_vec(), after_sending: AfterSending::Reads }
 }
 
-const SAFE: Ask = Ask { once: false, body: None };
-const ONCE: Ask = Ask { once: true, body: None };
-
-/// Four requests at once, so that a connection to each server is in use, and one more that may run once, after a
-/// rest. Gives what it heard and where it came.
-fn after_four(act: Act, rest: u16) -> (Option<u16>, Vec<Arrival>) {
-    let rounds = vec![reads(&[SAFE; 4], 0), reads(&[ONCE], rest)];
-    let (books, asked) = play([vec![GOOD; 4], vec![act]].concat(), vec![rounds], None, 3);
-    assert_eq!(faults(&books, &asked), Vec::<String>::new(), "{act:?}");
-    let heard = asked.heard.iter().find(|(id, _)| id == "id-0-1-0").map(|(_, heard)| heard.status);
-    let arrivals = books.arrivals.borrow().iter().filter(|a| a.id == "id-0-1-0").cloned().collect();
-    (heard, arrivals)
+const IDEMPOTENT: RequestSpec = RequestSpec { once: false, body: None };
+const ONCE: RequestSpec = RequestSpec { once: true, body: None };
+
+/// Sends four requests at once, so that a connection to each server has been used, and after a pause one that
+/// may run once. Returns the status of that one and its arrivals.
+fn on_used_connection(behavior: Behavior, pause_ms: u16) -> (Option<u16>, Vec<Arrival>) {
+    let rounds = vec![round(&[IDEMPOTENT; 4], 0), round(&[ONCE], pause_ms)];
+    let (records, observed) =
+        run_scenario([vec![SUCCESS; 4], vec![behavior]].concat(), vec![rounds], None, 3);
+    assert_eq!(violations(&records, &observed), Vec::<String>::new(), "{behavior:?}");
+    let response =
+        observed.responses.iter().find(|(id, _)| id == "id-0-1-0").map(|(_, response)| response.status);
+    let arrivals = records.arrivals.borrow().iter().filter(|a| a.id == "id-0-1-0").cloned().collect();
+    (response, arrivals)
 }
 
-/// The same as the first request of all.
-fn first(act: Act) -> (Option<u16>, Vec<Arrival>) {
-    let (books, asked) = play(vec![act], vec![vec![reads(&[ONCE], 0)]], None, 3);
-    assert_eq!(faults(&books, &asked), Vec::<String>::new(), "{act:?}");
-    let arrivals = books.arrivals.take();
-    (asked.heard.first().map(|(_, heard)| heard.status), arrivals)
+/// The same for a request that is the first of all, on a new connection.
+fn on_new_connection(behavior: Behavior) -> (Option<u16>, Vec<Arrival>) {
+    let (records, observed) = run_scenario(vec![behavior], vec![vec![round(&[ONCE], 0)]], None, 3);
+    assert_eq!(violations(&records, &observed), Vec::<String>::new(), "{behavior:?}");
+    let arrivals = records.arrivals.take();
+    (observed.responses.first().map(|(_, response)| response.status), arrivals)
 }
 
 #[gtest]
-fn what_may_run_once_goes_on_only_where_the_answer_can_be_no_others() {
-    use Away::{Misdirected, Status};
-    use Name::{Both, None, Other, Own};
-    // What the server does; the answer and how many servers got it, on a new connection and on a used one.
-    for (act, new, used) in [
-        (Act::Away(Status(503), Own), (200, 2), (200, 2)),
-        (Act::Away(Status(429), Own), (200, 2), (200, 2)),
-        (Act::Away(Misdirected, Own), (200, 2), (200, 2)),
-        (Act::Away(Status(503), None), (200, 2), (502, 1)),
-        (Act::Away(Misdirected, None), (200, 2), (502, 1)),
-        (Act::Away(Status(503), Other), (502, 1), (502, 1)),
-        (Act::Away(Misdirected, Other), (502, 1), (502, 1)),
-        (Act::Away(Status(503), Both), (502, 1), (502, 1)),
-        (Act::Away(Misdirected, Both), (502, 1), (502, 1)),
-        (Act::Before(Status(503), Other), (502, 1), (502, 1)),
-        (Act::Before(Misdirected, Other), (502, 1), (502, 1)),
-        (Act::BeforeGood(Other), (502, 1), (502, 1)),
-        (Act::BeforeGood(None), (502, 1), (502, 1)),
-        (Act::Good { name: None, chunked: false, large: false }, (502, 1), (502, 1)),
-        (Act::Unsaid(503), (502, 1), (502, 1)),
-        (Act::Unsaid(429), (502, 1), (502, 1)),
-        (Act::Unsaid(408), (502, 1), (502, 1)),
-        (Act::Cut { head: true, large: false, reset: false }, (502, 1), (502, 1)),
-        (Act::Cut { head: false, large: false, reset: false }, (502, 1), (502, 1)),
-        (Act::Unframed, (502, 1), (502, 1)),
-        (Act::Garbage, (502, 1), (502, 1)),
-        (Act::ResetUnread, (502, 1), (502, 1)),
-        (Act::ResetRead, (502, 1), (502, 1)),
-        (Act::Closes, (502, 1), (502, 1)),
-        (Act::Silent, (504, 1), (504, 1)),
-        (Act::Fails, (500, 1), (500, 1)),
-        (Act::Good { name: Own, chunked: true, large: false }, (200, 1), (200, 1)),
+fn a_request_that_may_run_once_is_retried_only_after_a_response_that_is_certainly_its_own() {
+    use Rejection::{Misdirected, Status};
+    use ResponseId::{Both, Foreign, None, Own};
+    // The server's behavior; the status and the number of arrivals, on a new connection and on a used one.
+    for (behavior, new, used) in [
+        (Behavior::Rejects(Status(503), Own), (200, 2), (200, 2)),
+        (Behavior::Rejects(Status(429), Own), (200, 2), (200, 2)),
+        (Behavior::Rejects(Misdirected, Own), (200, 2), (200, 2)),
+        (Behavior::Rejects(Status(503), None), (200, 2), (502, 1)),
+        (Behavior::Rejects(Misdirected, None), (200, 2), (502, 1)),
+        (Behavior::Rejects(Status(503), Foreign), (502, 1), (502, 1)),
+        (Behavior::Rejects(Misdirected, Foreign), (502, 1), (502, 1)),
+        (Behavior::Rejects(Status(503), Both), (502, 1), (502, 1)),
+        (Behavior::Rejects(Misdirected, Both), (502, 1), (502, 1)),
+        (Behavior::SurplusBefore(Status(503), Foreign), (502, 1), (502, 1)),
+        (Behavior::SurplusBefore(Misdirected, Foreign), (502, 1), (502, 1)),
+        (Behavior::SurplusSuccessBefore(Foreign), (502, 1), (502, 1)),
+        (Behavior::SurplusSuccessBefore(None), (502, 1), (502, 1)),
+        (Behavior::Success { carried_id: None, chunked: false, large: false }, (502, 1), (502, 1)),
+        (Behavior::WithoutHeader(503), (502, 1), (502, 1)),
+        (Behavior::WithoutHeader(429), (502, 1), (502, 1)),
+        (Behavior::WithoutHeader(408), (502, 1), (502, 1)),
+        (Behavior::Truncates { head: true, large: false, reset: false }, (502, 1), (502, 1)),
+        (Behavior::Truncates { head: false, large: false, reset: false }, (502, 1), (502, 1)),
+        (Behavior::Unframed, (502, 1), (502, 1)),
+        (Behavior::Garbage, (502, 1), (502, 1)),
+        (Behavior::ResetUnread, (502, 1), (502, 1)),
+        (Behavior::ResetRead, (502, 1), (502, 1)),
+        (Behavior::Closes, (502, 1), (502, 1)),
+        (Behavior::Silent, (504, 1), (504, 1)),
+        (Behavior::Failure, (500, 1), (500, 1)),
+        (Behavior::Success { carried_id: Own, chunked: true, large: false }, (200, 1), (200, 1)),
     ] {
-        let (heard, arrivals) = first(act);
-        expect_that!((heard, arrivals.len()), eq((Some(new.0), new.1)), "{act:?}, new");
-        let (heard, arrivals) = after_four(act, 0);
-        expect_that!((heard, arrivals.len()), eq((Some(used.0), used.1)), "{act:?}, used");
-        expect_that!(arrivals[0].before, ge(1), "{act:?}, used");
+        let (response, arrivals) = on_new_connection(behavior);
+        expect_that!((response, arrivals.len()), eq((Some(new.0), new.1)), "{behavior:?}, new");
+        let (response, arrivals) = on_used_connection(behavior, 0);
+        expect_that!((response, arrivals.len()), eq((Some(used.0), used.1)), "{behavior:?}, used");
+        expect_that!(arrivals[0].earlier_requests, ge(1), "{behavior:?}, used");
     }
-    let before = Act::Before(Status(503), None);
-    expect_that!(after_four(before, 0).0, some(eq(502)));
+    let before = Behavior::SurplusBefore(Status(503), None);
+    expect_that!(on_used_connection(before, 0).0, some(eq(502)));
 }
 
 #[gtest]
-fn what_may_run_once_goes_only_on_connections_that_ended_well_and_are_promised_to_stand() {
-    // What all servers did before, and how long the client rested, ms; whether the connection may be used again.
-    for (act, rest, used) in [
-        (GOOD, 0, true),
-        (GOOD, 2_900, true),
-        (GOOD, 3_100, false),
-        (Act::Fails, 0, true),
-        (Act::Unkept, 0, false),
-        (Act::Last, 0, false),
-        (Act::HalfCloses, 0, false),
-        (Act::Forgets(false, 0), 0, false),
-        (Act::Forgets(true, 0), 0, false),
-        (Act::After(Away::Status(503), Name::None, 0), 0, false),
-        (Act::After(Away::Misdirected, Name::Own, 0), 0, false),
-        (Act::After(Away::Status(503), Name::None, 1), 50, false),
+fn a_request_that_may_run_once_reuses_only_connections_that_are_clean_and_promised_to_stay_open() {
+    // The previous behavior of all servers and the client's pause in ms; whether the connection may be
+    // reused.
+    for (behavior, pause_ms, used) in [
+        (SUCCESS, 0, true),
+        (SUCCESS, 2_900, true),
+        (SUCCESS, 3_100, false),
+        (Behavior::Failure, 0, true),
+        (Behavior::WithoutKeepAlive, 0, false),
+        (Behavior::ConnectionClose, 0, false),
+        (Behavior::HalfCloses, 0, false),
+        (Behavior::ClosesIdle(false, 0), 0, false),
+        (Behavior::ClosesIdle(true, 0), 0, false),
+        (Behavior::SurplusAfter(Rejection::Status(503), ResponseId::None, 0), 0, false),
+        (Behavior::SurplusAfter(Rejection::Misdirected, ResponseId::Own, 0), 0, false),
+        (Behavior::SurplusAfter(Rejection::Status(503), ResponseId::None, 1), 50, false),
     ] {
-        for ask in [ONCE, SAFE] {
-            let rounds = vec![reads(&[SAFE; 4], 0), reads(&[ask], rest)];
-            let (books, asked) = play(vec![act; 4], vec![rounds], None, 3);
-            expect_that!(faults(&books, &asked), is_empty(), "{act:?} {rest}");
-            let arrivals = books.arrivals.borrow();
-            let on: Vec<usize> = arrivals.iter().filter(|a| a.id == "id-0-1-0").map(|a| a.before).collect();
-            // Without a promise it is still used for what may run again.
-            let used = used || (act == Act::Unkept && !ask.once);
+        for request in [ONCE, IDEMPOTENT] {
+            let rounds = vec![round(&[IDEMPOTENT; 4], 0), round(&[request], pause_ms)];
+            let (records, observed) = run_scenario(vec![behavior; 4], vec![rounds], None, 3);
+            expect_that!(violations(&records, &observed), is_empty(), "{behavior:?} {pause_ms}");
+            let arrivals = records.arrivals.borrow();
+            let on: Vec<usize> =
+                arrivals.iter().filter(|a| a.id == "id-0-1-0").map(|a| a.earlier_requests).collect();
+            // Without a promise it is still reused for idempotent requests.
+            let used = used || (behavior == Behavior::WithoutKeepAlive && !request.once);
             expect_that!(
                 on,
                 elements_are![predicate(|n: &usize| (*n > 0) == used)],
-                "{act:?} {rest} {ask:?}"
+                "{behavior:?} {pause_ms} {request:?}"
             );
-            let heard: Vec<u16> = asked.heard.iter().map(|(_, heard)| heard.status).collect();
-            expect_that!(heard.last(), some(eq(&200)), "{act:?} {rest} {ask:?}");
+            let response: Vec<u16> = observed.responses.iter().map(|(_, response)| response.status).collect();
+            expect_that!(response.last(), some(eq(&200)), "{behavior:?} {pause_ms} {request:?}");
         }
     }
 }
 
 #[gtest]
-fn what_came_while_a_connection_rested_is_seen_before_it_is_used_again() {
+fn bytes_or_a_close_on_an_idle_connection_are_noticed_before_it_is_reused() {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
-    // A surplus without an id, a close, a reset: each in the very turn in which the next request goes out, so that
-    // the runtime has not looked at the socket since.
+    // A surplus response without an id, a close, or a reset, each just before the next request is sent, so
+    // that the runtime has not polled the socket since.
     for what in ["surplus", "close", "reset"] {
         LocalSet::new().block_on(&runtime, async {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -728,17 +793,20 @@
                 let mut bytes = vec![0; 8 << 10];
                 let read = stream.read(&mut bytes).await.unwrap();
                 assert!(request(&bytes[..read]).is_some_and(|(named, _)| named == id));
-                let kept = format!("Keep-Alive: timeout={PROMISED}\r\n");
-                stream.write_all(good(Name::Own, id, "", "x", &kept).as_bytes()).await.unwrap();
+                let kept = format!("Keep-Alive: timeout={KEEP_ALIVE_S}\r\n");
+                stream
+                    .write_all(success_response(ResponseId::Own, id, "", "x", &kept).as_bytes())
+                    .await
+                    .unwrap();
                 stream
             };
             let taken = async { serve(listener.accept().await.unwrap().0, "one").await };
             let ((outcome, _), stream) = tokio::join!(send("one"), taken);
             assert_eq!(outcome, Outcome::Answer(200));
-            turns(50).await;
+            yield_times(50).await;
             match what {
                 "surplus" => {
-                    let surplus = away(Away::Status(503), Name::None, "", "");
+                    let surplus = rejection_response(Rejection::Status(503), ResponseId::None, "", "");
                     assert_eq!(stream.try_write(surplus.as_bytes()).unwrap(), surplus.len());
                 }
                 "close" => drop(stream),
