--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -1,10 +1,11 @@
-//! After SIGTERM every request that was read has its one complete answer, and no server that is at work is left: on
-//! real sockets, in virtual time, judged from what clients heard and from the books of the servers.
+//! Graceful shutdown: after SIGTERM every request that was read gets exactly one complete response, and no
+//! attempt in progress is abandoned. Uses real sockets and virtual time, and checks what clients received and
+//! servers recorded.
 
 mod support;
 
 use googletest::prelude::*;
-use granitelead_proxy::break_offs::BreakOff;
+use granitelead_proxy::aborts::AbortCause;
 use granitelead_proxy::shutdown::ShutdownReport;
 use proptest::collection::vec;
 use proptest::prelude::{any, prop_oneof, Just, Strategy};
@@ -14,44 +15,50 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use support::server::{good_after, Act, Arrival, End, Reply, Servers};
-use support::{configuration, hear, turns, Gatekeeper, Heard, GRACE};
+use support::server::{success_after, Arrival, End, Reply, ScriptedReply, Servers};
+use support::{configuration, read_response, yield_times, ClientResponse, Gatekeeper, GRACE};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::{sleep, Instant};
 
-/// The longest that a route lets a request take.
+/// Timeout of the routes, ms.
 const TIMEOUT: u64 = 3_000;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// Runs a test on one thread, with a clock that goes on only while nothing can run.
+/// Runs a test on one thread with paused time, which advances only while no task can run.
 fn in_virtual_time<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     LocalSet::new().block_on(&runtime.unwrap(), test)
 }
 
-struct Stage {
+struct Setup {
     servers: Rc<Servers>,
     gatekeeper: Rc<Gatekeeper>,
 }
 
-impl Stage {
-    /// Some servers with this script, and a gatekeeper before them that sends a request to `attempts` of them at the
-    /// most.
-    async fn new(script: Vec<Act>, servers: usize, attempts: u32, seed: u64) -> Stage {
-        Stage::with_timeout(TIMEOUT, script, servers, attempts, seed).await
+impl Setup {
+    /// Starts servers with this script, and a gatekeeper that sends each request to at most `attempts` of
+    /// them.
+    async fn new(script: Vec<ScriptedReply>, servers: usize, attempts: u32, seed: u64) -> Setup {
+        Setup::with_timeout(TIMEOUT, script, servers, attempts, seed).await
     }
 
-    async fn with_timeout(timeout: u64, script: Vec<Act>, servers: usize, attempts: u32, seed: u64) -> Stage {
-        let books = Rc::new(Servers { script: RefCell::new(script.into()), ..Servers::default() });
-        let addresses = books.start(servers).await;
+    async fn with_timeout(
+        timeout: u64,
+        script: Vec<ScriptedReply>,
+        servers: usize,
+        attempts: u32,
+        seed: u64,
+    ) -> Setup {
+        let records = Rc::new(Servers { script: RefCell::new(script.into()), ..Servers::default() });
+        let addresses = records.start(servers).await;
         let gatekeeper = Gatekeeper::start(configuration(timeout, attempts), &addresses, seed).await;
-        Stage { servers: books, gatekeeper: Rc::new(gatekeeper) }
+        Setup { servers: records, gatekeeper: Rc::new(gatekeeper) }
     }
 
     async fn connect(&self) -> TcpStream {
@@ -63,15 +70,15 @@
         spawn_local(async move { gatekeeper.terminate().await })
     }
 
-    /// What one client hears to one request.
-    async fn ask(&self, path: &str, id: &str, deadline: u64) -> Option<Heard> {
+    /// Sends one request on a new connection and returns the response.
+    async fn send_request(&self, path: &str, id: &str, deadline: u64) -> Option<ClientResponse> {
         let mut stream = self.connect().await;
         stream.write_all(request(path, id, deadline).as_bytes()).await.unwrap();
-        hear(&mut stream, &mut Vec::new()).await
+        read_response(&mut stream, &mut Vec::new()).await
     }
 
-    fn broken_off(&self, cause: BreakOff) -> u64 {
-        self.gatekeeper.front.break_offs.get(cause)
+    fn abort_count(&self, cause: AbortCause) -> u64 {
+        self.gatekeeper.shared.aborts.get(cause)
     }
 }
 
@@ -83,115 +90,120 @@
     )
 }
 
-/// Sends requests at once; gives what was heard until the connection ended or all were answered.
-async fn pipeline(mut stream: TcpStream, ids: Vec<String>) -> Vec<Heard> {
+/// Sends pipelined requests; returns the responses received until the connection ended or all were answered.
+async fn send_pipelined(mut stream: TcpStream, ids: Vec<String>) -> Vec<ClientResponse> {
     let text: String = ids.iter().map(|id| request("safe", id, 2_000)).collect();
     stream.write_all(text.as_bytes()).await.unwrap();
-    let (mut bytes, mut heard) = (Vec::new(), Vec::new());
+    let (mut bytes, mut responses) = (Vec::new(), Vec::new());
     for _ in ids {
-        let Some(answer) = hear(&mut stream, &mut bytes).await else { break };
-        let closes = answer.closes;
-        heard.push(answer);
+        let Some(response) = read_response(&mut stream, &mut bytes).await else { break };
+        let closes = response.closes;
+        responses.push(response);
         if closes {
             break;
         }
     }
-    heard
+    responses
 }
 
-/// Plays eight pipelined requests and something that ends connections at one point of them. Gives how many came to
-/// servers, and how many answers of servers were heard.
-fn pipelined_until(point: Duration, turns_after: usize, end: impl Fn(&Stage)) -> (usize, usize) {
+/// Sends eight pipelined requests and runs `end`, which closes connections, after `point` and `yields_after`
+/// yields. Returns how many requests arrived at servers, and how many responses from servers the client
+/// received.
+fn close_during_pipeline(point: Duration, yields_after: usize, end: impl Fn(&Setup)) -> (usize, usize) {
     in_virtual_time(async move {
-        let stage = Stage::new(vec![good_after(160); 8], 4, 1, 7).await;
+        let setup = Setup::new(vec![success_after(160); 8], 4, 1, 7).await;
         let ids = (0..8).map(|n| format!("id-{n}")).collect();
-        let client = spawn_local(pipeline(stage.connect().await, ids));
+        let client = spawn_local(send_pipelined(setup.connect().await, ids));
         sleep(point).await;
-        turns(turns_after).await;
-        end(&stage);
-        let heard = client.await.unwrap();
-        let arrived = stage.servers.arrivals.borrow().len();
-        (arrived, heard.iter().filter(|answer| answer.status == 200 && answer.sealed).count())
+        yield_times(yields_after).await;
+        end(&setup);
+        let responses = client.await.unwrap();
+        let arrived = setup.servers.arrivals.borrow().len();
+        (arrived, responses.iter().filter(|response| response.status == 200 && response.sealed).count())
     })
 }
 
 #[gtest]
-fn pipelined_requests_that_were_passed_on_are_answered_after_sigterm() {
+fn pipelined_requests_that_were_forwarded_are_answered_after_sigterm() {
     for after in (0..40).chain((40..200).step_by(10)) {
         for point in [0, 10, 159, 160, 161] {
-            let (arrived, answered) = pipelined_until(ms(point), after, |stage| drop(stage.terminate()));
-            expect_that!(answered, eq(arrived), "{point} ms and {after} turns");
+            let (arrived, answered) =
+                close_during_pipeline(ms(point), after, |setup| drop(setup.terminate()));
+            expect_that!(answered, eq(arrived), "{point} ms and {after} yields");
         }
     }
 }
 
 #[gtest]
-fn pipelined_requests_that_were_passed_on_are_answered_before_a_connection_is_closed_for_another_reason() {
+fn pipelined_requests_that_were_forwarded_are_answered_before_their_connection_is_closed_for_another_reason()
+{
     for after in 0..40 {
-        let close = |stage: &Stage| stage.gatekeeper.connections.close_all(Duration::ZERO);
-        let (arrived, answered) = pipelined_until(ms(0), after, close);
-        expect_that!(answered, eq(arrived), "close, {after} turns");
-        let stale = |stage: &Stage| stage.gatekeeper.connections.close_stale(Duration::ZERO, Duration::ZERO);
-        let (arrived, answered) = pipelined_until(ms(160), after, stale);
-        expect_that!(answered, eq(arrived), "stale, {after} turns");
+        let close = |setup: &Setup| setup.gatekeeper.connections.close_all(Duration::ZERO);
+        let (arrived, answered) = close_during_pipeline(ms(0), after, close);
+        expect_that!(answered, eq(arrived), "close, {after} yields");
+        let stale = |setup: &Setup| setup.gatekeeper.connections.close_stale(Duration::ZERO, Duration::ZERO);
+        let (arrived, answered) = close_during_pipeline(ms(160), after, stale);
+        expect_that!(answered, eq(arrived), "stale, {after} yields");
     }
 }
 
-/// A client that reads nothing yet holds up the answer that is being written, while the next one is at a server.
+/// A client that does not read yet blocks the response that is being written, while the next request is at a
+/// server.
 #[gtest]
-fn a_connection_whose_answer_is_still_being_written_answers_what_is_behind_it_too() {
-    // More than all buffers on the way hold.
+fn a_connection_closed_while_a_response_is_being_written_still_answers_the_next_request() {
+    // More than all buffers on the path hold.
     const SIZE: usize = 16 << 20;
     for stale in [false, true] {
         in_virtual_time(async move {
-            let large = Act { work: 10, reply: Reply::Good(SIZE) };
-            let stage = Stage::new(vec![large, good_after(1_000)], 4, 1, 7).await;
+            let large = ScriptedReply { work_ms: 10, reply: Reply::Success(SIZE) };
+            let setup = Setup::new(vec![large, success_after(1_000)], 4, 1, 7).await;
             let socket = TcpSocket::new_v4().unwrap();
             socket.set_recv_buffer_size(4_096).unwrap();
-            let mut stream = socket.connect(stage.gatekeeper.address).await.unwrap();
+            let mut stream = socket.connect(setup.gatekeeper.address).await.unwrap();
             let both = request("safe", "id-0", 2_000) + &request("safe", "id-1", 2_000);
             stream.write_all(both.as_bytes()).await.unwrap();
             sleep(ms(200)).await;
             if stale {
-                stage.gatekeeper.connections.close_stale(Duration::ZERO, ms(100));
+                setup.gatekeeper.connections.close_stale(Duration::ZERO, ms(100));
             } else {
-                drop(stage.terminate());
+                drop(setup.terminate());
                 sleep(ms(1_100)).await;
             }
             let mut bytes = Vec::new();
-            let first = hear(&mut stream, &mut bytes).await;
-            expect_that!(first.map(|answer| answer.body.len()), some(eq(SIZE)), "stale {stale}");
-            let second = hear(&mut stream, &mut bytes).await;
-            expect_that!(second.map(|answer| answer.status), some(eq(200)), "stale {stale}");
+            let first = read_response(&mut stream, &mut bytes).await;
+            expect_that!(first.map(|response| response.body.len()), some(eq(SIZE)), "stale {stale}");
+            let second = read_response(&mut stream, &mut bytes).await;
+            expect_that!(second.map(|response| response.status), some(eq(200)), "stale {stale}");
         });
     }
 }
 
 #[gtest]
-fn a_connection_that_has_just_come_may_send_its_request_after_sigterm() {
-    for (waits, answered) in [(0, true), (100, true), (900, true), (1_200, false)] {
+fn a_newly_opened_connection_may_send_its_request_after_sigterm() {
+    for (wait_ms, answered) in [(0, true), (100, true), (900, true), (1_200, false)] {
         in_virtual_time(async move {
-            let stage = Stage::new(Vec::new(), 1, 1, 7).await;
-            let mut stream = stage.connect().await;
+            let setup = Setup::new(Vec::new(), 1, 1, 7).await;
+            let mut stream = setup.connect().await;
             sleep(ms(5)).await;
-            let ended = stage.terminate();
-            sleep(ms(waits)).await;
+            let ended = setup.terminate();
+            sleep(ms(wait_ms)).await;
             stream.write_all(request("safe", "id", 2_000).as_bytes()).await.unwrap();
-            let heard = hear(&mut stream, &mut Vec::new()).await;
-            expect_that!(heard.is_some_and(|heard| heard.closes), eq(answered), "{waits} ms");
-            expect_that!(ended.await.unwrap().open_connections, eq(0), "{waits} ms");
+            let response = read_response(&mut stream, &mut Vec::new()).await;
+            expect_that!(response.is_some_and(|response| response.closes), eq(answered), "{wait_ms} ms");
+            expect_that!(ended.await.unwrap().open_connections, eq(0), "{wait_ms} ms");
         });
     }
 }
 
-/// A client sends one request more each 30 ms, whatever comes; after so many ms `end` is done. Gives how many came to servers, the answers of servers
-/// that it heard, whether only the last of them closes, and when the last request came, ms after `end` was done.
-fn always_sending(begun: u64, end: impl FnOnce(&Stage)) -> (usize, usize, bool, u128) {
+/// A client sends another request every 30 ms without waiting for responses; after `begun` ms `end` runs.
+/// Returns how many requests arrived at servers, how many responses the client received, whether only the
+/// last one closes the connection, and when the last request arrived, ms after `end`.
+fn keep_sending(begun: u64, end: impl FnOnce(&Setup)) -> (usize, usize, bool, u128) {
     in_virtual_time(async move {
-        // Some answers hold up what is behind them.
-        let script = (0..200).map(|n| good_after(if n % 5 == 0 { 330 } else { 60 })).collect();
-        let stage = Stage::new(script, 4, 1, 7).await;
-        let (mut reads, mut writes) = stage.connect().await.into_split();
+        // Some responses delay the ones behind them.
+        let script = (0..200).map(|n| success_after(if n % 5 == 0 { 330 } else { 60 })).collect();
+        let setup = Setup::new(script, 4, 1, 7).await;
+        let (mut reads, mut writes) = setup.connect().await.into_split();
         let sending = spawn_local(async move {
             for n in 0..200 {
                 if writes.write_all(request("safe", &format!("id-{n}"), 2_000).as_bytes()).await.is_err() {
@@ -201,73 +213,73 @@
             }
         });
         sleep(ms(begun)).await;
-        end(&stage);
+        end(&setup);
         let ended = Instant::now();
         let (mut bytes, mut closes) = (Vec::new(), Vec::new());
-        while let Some(answer) = hear(&mut reads, &mut bytes).await {
-            assert_eq!(answer.status, 200);
-            closes.push(answer.closes);
+        while let Some(response) = read_response(&mut reads, &mut bytes).await {
+            assert_eq!(response.status, 200);
+            closes.push(response.closes);
         }
         sending.abort();
         let only_the_last = closes.iter().rposition(|closes| !closes).is_none_or(|n| n + 2 == closes.len());
-        let arrivals = stage.servers.arrivals.borrow();
-        let last = arrivals.iter().map(|arrival| arrival.begun - ended).max().unwrap_or_default();
+        let arrivals = setup.servers.arrivals.borrow();
+        let last = arrivals.iter().map(|arrival| arrival.started_at - ended).max().unwrap_or_default();
         (arrivals.len(), closes.len(), only_the_last && closes.last() == Some(&true), last.as_millis())
     })
 }
 
 #[gtest]
-fn a_client_that_always_sends_on_is_led_away_and_all_that_was_passed_on_is_answered() {
-    let terminate: fn(&Stage) = |stage| drop(stage.terminate());
-    let close: fn(&Stage) = |stage| stage.gatekeeper.connections.close_all(Duration::ZERO);
+fn a_client_that_keeps_sending_is_disconnected_and_all_forwarded_requests_are_answered() {
+    let terminate: fn(&Setup) = |setup| drop(setup.terminate());
+    let close: fn(&Setup) = |setup| setup.gatekeeper.connections.close_all(Duration::ZERO);
     for begun in (20..320).step_by(20) {
         for end in [terminate, close] {
-            let (arrived, answered, only_the_last, last) = always_sending(begun, end);
+            let (arrived, answered, only_the_last, last) = keep_sending(begun, end);
             expect_that!(answered, eq(arrived), "{begun} ms");
             expect_that!(only_the_last, eq(true), "{begun} ms");
-            // The window of 1 s, and then those that were read in it, in turn.
+            // The close window of 1 s, and then the requests that were read in it, one after another.
             expect_that!(last, all!(ge(500), le(4_000)), "{begun} ms");
         }
     }
 }
 
-/// What comes at once on an idle connection is answered as a whole, by the close or before it.
+/// Pipelined requests on an idle connection are all answered; the last response closes the connection.
 #[gtest]
 fn a_burst_on_an_idle_connection_is_answered_after_sigterm() {
-    for waits in [0, 100, 900] {
+    for wait_ms in [0, 100, 900] {
         in_virtual_time(async move {
-            let stage = Stage::new(Vec::new(), 4, 1, 7).await;
-            *stage.servers.usual.borrow_mut() = Some(good_after(160));
-            let stream = stage.connect().await;
+            let setup = Setup::new(Vec::new(), 4, 1, 7).await;
+            *setup.servers.default_reply.borrow_mut() = Some(success_after(160));
+            let stream = setup.connect().await;
             sleep(ms(5)).await;
-            let ended = stage.terminate();
-            sleep(ms(waits)).await;
-            let heard = pipeline(stream, (0..6).map(|n| format!("id-{n}")).collect()).await;
-            let closes: Vec<bool> = heard.iter().map(|answer| answer.closes).collect();
-            expect_that!(closes, eq(&vec![false, false, false, false, false, true]), "{waits} ms");
-            expect_that!(ended.await.unwrap().unanswered, eq(0), "{waits} ms");
+            let ended = setup.terminate();
+            sleep(ms(wait_ms)).await;
+            let responses = send_pipelined(stream, (0..6).map(|n| format!("id-{n}")).collect()).await;
+            let closes: Vec<bool> = responses.iter().map(|response| response.closes).collect();
+            expect_that!(closes, eq(&vec![false, false, false, false, false, true]), "{wait_ms} ms");
+            expect_that!(ended.await.unwrap().unanswered, eq(0), "{wait_ms} ms");
         });
     }
 }
 
 #[gtest]
-fn a_server_at_work_is_waited_for_where_no_other_can_be_asked() {
-    // No other server; none that has room for it; no more attempts.
+fn a_slow_server_is_waited_for_if_no_other_server_can_be_tried() {
+    // One server only; then several servers but only one attempt.
     for (servers, attempts) in [(1, 3), (3, 1)] {
         for work in [1_300, 1_500, 1_700, 1_900] {
             for terminated in [false, true] {
                 in_virtual_time(async move {
-                    let stage = Stage::new(vec![good_after(work)], servers, attempts, 7).await;
+                    let setup = Setup::new(vec![success_after(work)], servers, attempts, 7).await;
                     let ended = terminated.then(|| {
-                        let gatekeeper = stage.gatekeeper.clone();
+                        let gatekeeper = setup.gatekeeper.clone();
                         spawn_local(async move {
                             sleep(ms(100)).await;
                             gatekeeper.terminate().await
                         })
                     });
-                    let heard = stage.ask("safe", "id", 2_000).await.expect("an answer");
+                    let response = setup.send_request("safe", "id", 2_000).await.expect("a response");
                     let situation = format!("{servers} servers, {attempts} attempts, {work} ms");
-                    expect_that!((heard.status, heard.sealed), eq((200, true)), "{situation}");
+                    expect_that!((response.status, response.sealed), eq((200, true)), "{situation}");
                     if let Some(ended) = ended {
                         expect_that!(ended.await.unwrap().unanswered, eq(0), "{situation}");
                     }
@@ -278,80 +290,80 @@
 }
 
 #[gtest]
-fn an_overdue_server_goes_on_beside_the_next_one_and_the_first_answer_is_passed_on() {
-    let reply = |work, reply| Act { work, reply };
-    // The first server's work, what the second one does, and what the client hears; the second one is asked after
-    // 0.6 of 2,000 ms.
-    for (first, second, heard, superseded) in [
-        (good_after(1_500), good_after(100), 1, 1),
-        (good_after(1_400), good_after(400), 0, 1),
-        (good_after(1_700), reply(10, Reply::Away), 0, 0),
-        (good_after(1_700), reply(10, Reply::Failure), 0, 0),
-        (good_after(1_700), reply(10, Reply::Close), 0, 0),
-        (good_after(1_700), reply(10, Reply::Reset), 0, 0),
-        (reply(1_300, Reply::Close), good_after(500), 1, 0),
-        (reply(1_300, Reply::Failure), good_after(500), 1, 0),
-        (reply(0, Reply::Silence), good_after(500), 1, 1),
+fn an_overdue_attempt_continues_beside_the_hedged_one_and_the_first_response_is_passed_on() {
+    let reply = |work_ms, reply| ScriptedReply { work_ms, reply };
+    // Scripts of both servers, the index of the attempt that must have completed, and the number of
+    // superseded attempts. The hedged attempt starts after 0.6 of 2,000 ms.
+    for (first, second, completed, superseded) in [
+        (success_after(1_500), success_after(100), 1, 1),
+        (success_after(1_400), success_after(400), 0, 1),
+        (success_after(1_700), reply(10, Reply::NotExecuted), 0, 0),
+        (success_after(1_700), reply(10, Reply::Failure), 0, 0),
+        (success_after(1_700), reply(10, Reply::Close), 0, 0),
+        (success_after(1_700), reply(10, Reply::Reset), 0, 0),
+        (reply(1_300, Reply::Close), success_after(500), 1, 0),
+        (reply(1_300, Reply::Failure), success_after(500), 1, 0),
+        (reply(0, Reply::Silence), success_after(500), 1, 1),
     ] {
         in_virtual_time(async move {
-            let stage = Stage::new(vec![first, second], 2, 2, 7).await;
-            let answer = stage.ask("safe", "id", 2_000).await.expect("an answer");
+            let setup = Setup::new(vec![first, second], 2, 2, 7).await;
+            let response = setup.send_request("safe", "id", 2_000).await.expect("a response");
             let situation = format!("{first:?} {second:?}");
-            expect_that!((answer.status, answer.sealed), eq((200, true)), "{situation}");
-            let arrivals = stage.servers.of("id");
+            expect_that!((response.status, response.sealed), eq((200, true)), "{situation}");
+            let arrivals = setup.servers.arrivals_of("id");
             expect_that!(arrivals.len(), eq(2), "{situation}");
-            let is_done = |arrival: &Arrival| matches!(arrival.end, Some(End::Done(_)));
-            expect_that!(is_done(&arrivals[heard]), eq(true), "{situation}");
-            expect_that!(stage.broken_off(BreakOff::Superseded), eq(superseded), "{situation}");
-            expect_that!(stage.broken_off(BreakOff::Deadline), eq(0), "{situation}");
+            let is_done = |arrival: &Arrival| matches!(arrival.end, Some(End::Completed(_)));
+            expect_that!(is_done(&arrivals[completed]), eq(true), "{situation}");
+            expect_that!(setup.abort_count(AbortCause::Superseded), eq(superseded), "{situation}");
+            expect_that!(setup.abort_count(AbortCause::Deadline), eq(0), "{situation}");
         });
     }
 }
 
 #[gtest]
-fn a_failure_of_a_server_is_passed_on_where_nothing_better_comes() {
-    let failure = Act { work: 1_300, reply: Reply::Failure };
-    let silence = Act { work: 0, reply: Reply::Silence };
+fn an_error_response_of_a_server_is_passed_on_if_no_attempt_succeeds() {
+    let failure = ScriptedReply { work_ms: 1_300, reply: Reply::Failure };
+    let silence = ScriptedReply { work_ms: 0, reply: Reply::Silence };
     in_virtual_time(async move {
-        let stage = Stage::new(vec![failure, silence], 2, 2, 7).await;
-        let answer = stage.ask("safe", "id", 2_000).await.expect("an answer");
-        expect_that!((answer.status, answer.sealed), eq((500, true)));
+        let setup = Setup::new(vec![failure, silence], 2, 2, 7).await;
+        let response = setup.send_request("safe", "id", 2_000).await.expect("a response");
+        expect_that!((response.status, response.sealed), eq((500, true)));
     });
 }
 
 #[gtest]
-fn what_may_run_once_is_asked_of_one_server_only() {
+fn a_request_that_may_run_once_is_sent_to_one_server_only() {
     in_virtual_time(async {
-        let stage = Stage::new(vec![good_after(1_900)], 3, 3, 7).await;
-        let answer = stage.ask("once", "id", 2_000).await.expect("an answer");
-        expect_that!(answer.status, eq(200));
-        expect_that!(stage.servers.of("id").len(), eq(1));
+        let setup = Setup::new(vec![success_after(1_900)], 3, 3, 7).await;
+        let response = setup.send_request("once", "id", 2_000).await.expect("a response");
+        expect_that!(response.status, eq(200));
+        expect_that!(setup.servers.arrivals_of("id").len(), eq(1));
     });
 }
 
-/// A client whose socket holds little reads slowly, and has sent more than was read: the reset of an early close would
-/// destroy what is still on its way.
+/// A client with a small receive buffer reads slowly and has sent bytes that were not read: closing early
+/// would reset the connection and discard the part of the response that is still in transit.
 #[gtest]
-fn an_answer_reaches_a_slow_reader_that_has_sent_more() {
-    // The answer is written 50 ms after its request has come.
+fn a_response_reaches_a_slow_reader_that_has_sent_another_request() {
+    // The response is written 50 ms after the request has arrived.
     for (size, sends_more_after) in
         [(20, 10), (200_000, 10), (500_000, 10), (20, 60), (200_000, 60), (500_000, 60)]
     {
         in_virtual_time(async move {
-            let script = vec![Act { work: 50, reply: Reply::Good(size) }];
-            let stage = Stage::new(script, 1, 1, 7).await;
+            let script = vec![ScriptedReply { work_ms: 50, reply: Reply::Success(size) }];
+            let setup = Setup::new(script, 1, 1, 7).await;
             let socket = TcpSocket::new_v4().unwrap();
             socket.set_recv_buffer_size(4_096).unwrap();
-            let mut stream = socket.connect(stage.gatekeeper.address).await.unwrap();
+            let mut stream = socket.connect(setup.gatekeeper.address).await.unwrap();
             stream.write_all(request("safe", "id-0", 2_000).as_bytes()).await.unwrap();
             sleep(ms(10)).await;
-            let ended = stage.terminate();
+            let ended = setup.terminate();
             sleep(ms(sends_more_after)).await;
             stream.write_all(request("once", "id-1", 2_000).as_bytes()).await.unwrap();
             sleep(ms(200)).await;
-            let answer = hear(&mut stream, &mut Vec::new()).await;
+            let response = read_response(&mut stream, &mut Vec::new()).await;
             let situation = format!("{size} bytes, more after {sends_more_after} ms");
-            expect_that!(answer.map(|answer| answer.body.len()), some(eq(size)), "{situation}");
+            expect_that!(response.map(|response| response.body.len()), some(eq(size)), "{situation}");
             drop(stream);
             expect_that!(ended.await.unwrap().unanswered, eq(0));
         });
@@ -359,51 +371,51 @@
 }
 
 #[gtest]
-fn a_body_that_is_refused_before_it_is_read_does_not_destroy_the_refusal() {
+fn a_client_that_is_still_sending_a_body_receives_the_early_error_response() {
     in_virtual_time(async {
-        let stage = Stage::new(Vec::new(), 1, 1, 7).await;
-        let mut stream = stage.connect().await;
-        // More than all buffers on the way hold.
+        let setup = Setup::new(Vec::new(), 1, 1, 7).await;
+        let mut stream = setup.connect().await;
+        // More than all buffers on the path hold.
         let body = "b".repeat(32 << 20);
         let length = format!("\r\nContent-Length: {}\r\n\r\n", body.len());
         let head = request("nowhere", "id", 2_000).replace("\r\n\r\n", &length);
-        // The client writes all before it reads.
+        // The client writes everything before it reads.
         let written = stream.write_all(format!("{head}{body}").as_bytes()).await;
         expect_that!(written.is_ok(), eq(true));
-        let answer = hear(&mut stream, &mut Vec::new()).await;
-        expect_that!(answer.map(|answer| answer.status), some(eq(404)));
+        let response = read_response(&mut stream, &mut Vec::new()).await;
+        expect_that!(response.map(|response| response.status), some(eq(404)));
     });
 }
 
 #[gtest]
-fn a_connection_in_the_queue_when_the_last_are_accepted_is_served() {
+fn a_connection_in_the_backlog_when_accepting_stops_is_served() {
     in_virtual_time(async {
-        let stage = Stage::new(Vec::new(), 1, 1, 7).await;
-        let ended = stage.terminate();
+        let setup = Setup::new(Vec::new(), 1, 1, 7).await;
+        let ended = setup.terminate();
         let begun = Instant::now();
-        // Connections come all the time, up to the moment in which none are taken any more.
+        // Opens connections continuously until the listener is closed.
         let mut clients = Vec::new();
-        while let Ok(mut stream) = TcpStream::connect(stage.gatekeeper.address).await {
+        while let Ok(mut stream) = TcpStream::connect(setup.gatekeeper.address).await {
             let id = format!("id-{}", clients.len());
             let _ = stream.write_all(request("safe", &id, 500).as_bytes()).await;
-            clients.push(spawn_local(async move { hear(&mut stream, &mut Vec::new()).await }));
+            clients.push(spawn_local(async move { read_response(&mut stream, &mut Vec::new()).await }));
             sleep(ms(3)).await;
         }
         expect_that!(begun.elapsed(), all!(ge(ms(2_500)), le(ms(2_800))));
         for (n, client) in clients.into_iter().enumerate() {
-            let answer = client.await.unwrap();
-            expect_that!(answer.map(|answer| answer.status), some(eq(200)), "client {n}");
+            let response = client.await.unwrap();
+            expect_that!(response.map(|response| response.status), some(eq(200)), "client {n}");
         }
         expect_that!(ended.await.unwrap().unanswered, eq(0));
     });
 }
 
 #[gtest]
-fn those_that_wait_in_the_queue_are_accepted_before_the_listener_goes() {
+fn connections_in_the_backlog_are_accepted_before_the_listener_is_closed() {
     in_virtual_time(async {
         let servers = Rc::new(Servers::default());
         let addresses = servers.start(1).await;
-        let front = Gatekeeper::front(configuration(TIMEOUT, 1), &addresses, 7);
+        let shared = Gatekeeper::shared_state(configuration(TIMEOUT, 1), &addresses, 7);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let mut waiting = Vec::new();
@@ -414,29 +426,29 @@
         }
         let stop = Rc::new(Notify::new());
         stop.notify_one();
-        Gatekeeper::accept(&front, &Rc::default(), listener, &stop).await;
+        Gatekeeper::accept(&shared, &Rc::default(), listener, &stop).await;
         for (n, mut stream) in waiting.into_iter().enumerate() {
-            let heard = hear(&mut stream, &mut Vec::new()).await;
-            expect_that!(heard.map(|heard| heard.status), some(eq(200)), "connection {n}");
+            let response = read_response(&mut stream, &mut Vec::new()).await;
+            expect_that!(response.map(|response| response.status), some(eq(200)), "connection {n}");
         }
     });
 }
 
 #[gtest]
-fn the_process_waits_until_a_slow_client_has_read_its_answer() {
+fn the_process_waits_until_a_slow_client_has_read_its_response() {
     in_virtual_time(async {
-        let large = Act { work: 10, reply: Reply::Good(500_000) };
-        let stage = Stage::new(vec![large], 1, 1, 7).await;
+        let large = ScriptedReply { work_ms: 10, reply: Reply::Success(500_000) };
+        let setup = Setup::new(vec![large], 1, 1, 7).await;
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4_096).unwrap();
-        let mut stream = socket.connect(stage.gatekeeper.address).await.unwrap();
+        let mut stream = socket.connect(setup.gatekeeper.address).await.unwrap();
         stream.write_all(request("safe", "id", 2_000).as_bytes()).await.unwrap();
         sleep(ms(50)).await;
-        let ended = stage.terminate();
+        let ended = setup.terminate();
         sleep(ms(2_800)).await;
         expect_that!(ended.is_finished(), eq(false));
-        let answer = hear(&mut stream, &mut Vec::new()).await;
-        expect_that!(answer.map(|answer| answer.body.len()), some(eq(500_000)));
+        let response = read_response(&mut stream, &mut Vec::new()).await;
+        expect_that!(response.map(|response| response.body.len()), some(eq(500_000)));
         drop(stream);
         let report = ended.await.unwrap();
         expect_that!(report.took, all!(ge(ms(2_800)), le(ms(2_900))));
@@ -445,226 +457,251 @@
 }
 
 #[gtest]
-fn the_process_ends_when_all_is_answered_and_answers_all_before_it_is_killed() {
-    let silence = Act { work: 0, reply: Reply::Silence };
-    // What is under way, when the process ends, and what its client hears.
-    for (act, least, most, status) in [
-        (good_after(100), 2_600, 2_800, 200),
-        (good_after(2_900), 2_900, 3_050, 200),
+fn the_process_exits_when_all_requests_are_answered_and_before_it_is_killed() {
+    let silence = ScriptedReply { work_ms: 0, reply: Reply::Silence };
+    // The script of the request in flight, the bounds of the shutdown's duration in ms, and the response's
+    // status.
+    for (scripted, least, most, status) in [
+        (success_after(100), 2_600, 2_800, 200),
+        (success_after(2_900), 2_900, 3_050, 200),
         (silence, 2_950, 3_200, 504),
     ] {
         in_virtual_time(async move {
-            let stage = Rc::new(Stage::new(vec![act], 1, 1, 7).await);
-            let asking = stage.clone();
-            let asked = spawn_local(async move { asking.ask("safe", "id", TIMEOUT).await });
+            let setup = Rc::new(Setup::new(vec![scripted], 1, 1, 7).await);
+            let client_setup = setup.clone();
+            let client = spawn_local(async move { client_setup.send_request("safe", "id", TIMEOUT).await });
             sleep(ms(5)).await;
-            let report = stage.terminate().await.unwrap();
-            expect_that!(report.took, all!(ge(ms(least)), le(ms(most))), "{act:?}");
-            expect_that!((report.unanswered, report.open_connections), eq((0, 0)), "{act:?}");
-            expect_that!(asked.await.unwrap().map(|answer| answer.status), some(eq(status)), "{act:?}");
+            let report = setup.terminate().await.unwrap();
+            expect_that!(report.took, all!(ge(ms(least)), le(ms(most))), "{scripted:?}");
+            expect_that!((report.unanswered, report.open_connections), eq((0, 0)), "{scripted:?}");
+            expect_that!(
+                client.await.unwrap().map(|response| response.status),
+                some(eq(status)),
+                "{scripted:?}"
+            );
         });
     }
 }
 
 #[gtest]
-fn what_has_no_answer_when_the_grace_period_is_over_is_answered_rather_than_cut() {
+fn requests_without_a_response_at_the_end_of_the_grace_period_get_an_error_response() {
     in_virtual_time(async {
-        let silence = Act { work: 0, reply: Reply::Silence };
+        let silence = ScriptedReply { work_ms: 0, reply: Reply::Silence };
         let script = vec![silence, silence];
-        let stage = Rc::new(Stage::with_timeout(30_000, script, 2, 1, 7).await);
-        let asking = stage.clone();
-        let asked = spawn_local(async move {
-            let (safe, once) = (asking.ask("safe", "id-0", 20_000), asking.ask("once", "id-1", 20_000));
+        let setup = Rc::new(Setup::with_timeout(30_000, script, 2, 1, 7).await);
+        let client_setup = setup.clone();
+        let client = spawn_local(async move {
+            let (safe, once) = (
+                client_setup.send_request("safe", "id-0", 20_000),
+                client_setup.send_request("once", "id-1", 20_000),
+            );
             tokio::join!(safe, once)
         });
         sleep(ms(5)).await;
-        let report = stage.terminate().await.unwrap();
+        let report = setup.terminate().await.unwrap();
         expect_that!(report.took, all!(ge(GRACE - ms(600)), le(GRACE - ms(300))));
         expect_that!((report.unanswered, report.open_connections), eq((0, 0)));
-        let (safe, once) = asked.await.unwrap();
-        // It may have run: no promise.
-        expect_that!([safe, once].map(|heard| heard.map(|heard| heard.status)), eq([Some(504), Some(504)]));
-        expect_that!(stage.broken_off(BreakOff::GracePeriod), eq(2));
+        let (safe, once) = client.await.unwrap();
+        // They may have run, so the status must not say that they did not.
+        expect_that!(
+            [safe, once].map(|response| response.map(|response| response.status)),
+            eq([Some(504), Some(504)])
+        );
+        expect_that!(setup.abort_count(AbortCause::GracePeriod), eq(2));
     });
 }
 
 #[gtest]
-fn another_server_is_asked_in_time_for_the_end_of_the_grace_period() {
+fn the_hedged_attempt_starts_in_time_for_the_end_of_the_grace_period() {
     in_virtual_time(async {
-        // Without the signal the second server would be asked after 12 s.
-        let silence = Act { work: 0, reply: Reply::Silence };
-        let script = vec![silence, good_after(1_300)];
-        let stage = Rc::new(Stage::with_timeout(30_000, script, 2, 2, 7).await);
-        let asking = stage.clone();
-        let asked = spawn_local(async move { asking.ask("safe", "id", 20_000).await });
+        // Without the signal the hedged attempt would start after 12 s.
+        let silence = ScriptedReply { work_ms: 0, reply: Reply::Silence };
+        let script = vec![silence, success_after(1_300)];
+        let setup = Rc::new(Setup::with_timeout(30_000, script, 2, 2, 7).await);
+        let client_setup = setup.clone();
+        let client = spawn_local(async move { client_setup.send_request("safe", "id", 20_000).await });
         sleep(ms(500)).await;
-        let report = stage.terminate().await.unwrap();
+        let report = setup.terminate().await.unwrap();
         expect_that!(report.took, all!(ge(ms(4_000)), le(ms(5_000))));
-        expect_that!(asked.await.unwrap().map(|heard| heard.status), some(eq(200)));
+        expect_that!(client.await.unwrap().map(|response| response.status), some(eq(200)));
     });
 }
 
 #[gtest]
-fn a_request_that_can_not_be_answered_in_time_is_refused_unexecuted() {
+fn a_request_that_can_not_be_answered_in_time_is_rejected_without_execution() {
     in_virtual_time(async {
-        let stage = Stage::new(Vec::new(), 1, 1, 7).await;
-        let ended = stage.terminate();
+        let setup = Setup::new(Vec::new(), 1, 1, 7).await;
+        let ended = setup.terminate();
         sleep(ms(2_550)).await;
-        let in_time = stage.ask("safe", "id-0", 2_800).await.expect("an answer");
+        let in_time = setup.send_request("safe", "id-0", 2_800).await.expect("a response");
         expect_that!(in_time.status, eq(200));
-        // The grace period has 6,000 ms, and the last answers come 600 ms before its end.
-        let late = stage.ask("safe", "id-1", 3_000).await.expect("an answer");
+        // The grace period is 6,000 ms, and the last responses are sent 600 ms before its end.
+        let late = setup.send_request("safe", "id-1", 3_000).await.expect("a response");
         expect_that!((late.status, late.closes), eq((503, true)));
-        expect_that!(stage.servers.of("id-1"), is_empty());
+        expect_that!(setup.servers.arrivals_of("id-1"), is_empty());
         expect_that!(ended.await.unwrap().unanswered, eq(0));
     });
 }
 
-/// How a drawn client behaves.
+/// How a generated client behaves after sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Manner {
+enum ClientBehavior {
     Reads,
-    /// Reads nothing for so long, ms.
-    Sleeps(u64),
-    /// Closes its side. TCP shows this as it shows a client that is gone, whose requests no server may go on working at,
-    /// so no answer is owed.
+    /// Reads nothing for this time, ms.
+    ReadsAfter(u64),
+    /// Closes its sending side. In TCP this looks the same as a client that has disconnected, whose attempts
+    /// must be aborted, so no response is expected.
     HalfCloses,
-    /// Resets after so many turns.
+    /// Resets the connection after this many yields.
     Resets(usize),
 }
 
-/// Requests that a drawn client sends at once, on the connection that it has if that still stands.
+/// Requests that a generated client sends at once, on its current connection if that is still open.
 #[derive(Clone, Debug)]
 struct Round {
-    rest: u64,
-    /// Whether each may run once only.
-    once: Vec<bool>,
-    manner: Manner,
+    pause_ms: u64,
+    /// For each request, whether it may run at most once.
+    at_most_once: Vec<bool>,
+    behavior: ClientBehavior,
 }
 
-/// What became of a drawn request.
+/// A generated request and its response.
 #[derive(Clone, Debug)]
-struct Asked {
+struct SentRequest {
     id: String,
-    sent: Instant,
-    /// It was the first that its client sent on its connection since the last answer.
+    sent_at: Instant,
+    /// Whether it was the first that its client sent on the connection since the last response.
     first: bool,
     is_last_of_connection: bool,
-    client_left: bool,
-    heard: Option<Heard>,
+    client_disconnected: bool,
+    response: Option<ClientResponse>,
 }
 
 const DEADLINE: u64 = 1_000;
 
-async fn drawn_client(
+async fn generated_client(
     address: SocketAddr,
     number: usize,
     rounds: Vec<Round>,
-    told: Rc<RefCell<Option<Instant>>>,
-) -> Vec<Asked> {
+    signal_at: Rc<RefCell<Option<Instant>>>,
+) -> Vec<SentRequest> {
     let mut all = Vec::new();
-    let mut kept: Option<TcpStream> = None;
+    let mut open_connection: Option<TcpStream> = None;
     for (r, round) in rounds.into_iter().enumerate() {
-        sleep(ms(round.rest)).await;
-        let mut stream = match kept.take() {
+        sleep(ms(round.pause_ms)).await;
+        let mut stream = match open_connection.take() {
             Some(stream) => stream,
             None => match TcpStream::connect(address).await {
                 Ok(stream) => stream,
-                Err(_) if told.borrow().is_some() => return all,
+                Err(_) if signal_at.borrow().is_some() => return all,
                 Err(e) => panic!("the gatekeeper takes connections: {e}"),
             },
         };
         let _ = stream.set_zero_linger();
-        let ids: Vec<String> = (0..round.once.len()).map(|n| format!("id-{number}-{r}-{n}")).collect();
+        let ids: Vec<String> =
+            (0..round.at_most_once.len()).map(|n| format!("id-{number}-{r}-{n}")).collect();
         let path = |once: bool| if once { "once" } else { "safe" };
-        let text: String =
-            ids.iter().zip(&round.once).map(|(id, once)| request(path(*once), id, DEADLINE)).collect();
-        let sent = Instant::now();
+        let text: String = ids
+            .iter()
+            .zip(&round.at_most_once)
+            .map(|(id, once)| request(path(*once), id, DEADLINE))
+            .collect();
+        let sent_at = Instant::now();
         if stream.write_all(text.as_bytes()).await.is_err() {
             continue;
         }
-        let client_left = matches!(round.manner, Manner::Resets(_) | Manner::HalfCloses);
-        let asked = |(n, id): (usize, &String)| Asked {
+        let client_disconnected =
+            matches!(round.behavior, ClientBehavior::Resets(_) | ClientBehavior::HalfCloses);
+        let new_request = |(n, id): (usize, &String)| SentRequest {
             id: id.clone(),
-            sent,
+            sent_at,
             first: n == 0,
             is_last_of_connection: false,
-            client_left,
-            heard: None,
+            client_disconnected,
+            response: None,
         };
-        let mut round_asked: Vec<Asked> = ids.iter().enumerate().map(asked).collect();
-        match round.manner {
-            Manner::Reads => {}
-            Manner::Sleeps(time) => sleep(ms(time)).await,
-            Manner::HalfCloses => drop(stream.shutdown().await),
-            Manner::Resets(n) => {
-                turns(n).await;
-                all.extend(round_asked);
+        let mut round_requests: Vec<SentRequest> = ids.iter().enumerate().map(new_request).collect();
+        match round.behavior {
+            ClientBehavior::Reads => {}
+            ClientBehavior::ReadsAfter(time) => sleep(ms(time)).await,
+            ClientBehavior::HalfCloses => drop(stream.shutdown().await),
+            ClientBehavior::Resets(n) => {
+                yield_times(n).await;
+                all.extend(round_requests);
                 continue;
             }
         }
         let mut bytes = Vec::new();
-        let mut stands = round.manner != Manner::HalfCloses;
-        for asked in &mut round_asked {
-            asked.heard = hear(&mut stream, &mut bytes).await;
-            asked.is_last_of_connection = asked.heard.as_ref().is_none_or(|heard| heard.closes);
-            if asked.is_last_of_connection {
-                stands = false;
+        let mut stays_open = round.behavior != ClientBehavior::HalfCloses;
+        for sent_request in &mut round_requests {
+            sent_request.response = read_response(&mut stream, &mut bytes).await;
+            sent_request.is_last_of_connection =
+                sent_request.response.as_ref().is_none_or(|response| response.closes);
+            if sent_request.is_last_of_connection {
+                stays_open = false;
                 break;
             }
         }
-        all.extend(round_asked);
-        kept = stands.then_some(stream);
+        all.extend(round_requests);
+        open_connection = stays_open.then_some(stream);
     }
     all
 }
 
-/// Every broken rule.
-fn faults(servers: &Servers, asked: &[Asked], told: Option<Instant>) -> Vec<String> {
-    let mut found = Vec::new();
-    for asked in asked.iter().filter(|asked| !asked.client_left) {
-        let arrivals = servers.of(&asked.id);
-        // The gatekeeper keeps some of the time for its answer to reach the client.
-        let deadline = asked.sent + ms(DEADLINE);
-        let gave_up = told.map(|told| told + GRACE - ms(600));
-        let limit = gave_up.map_or(deadline, |gave_up| gave_up.min(deadline));
-        let Some(heard) = &asked.heard else {
+/// Checks the responses against the records of the servers; returns every violation.
+fn violations(servers: &Servers, sent_requests: &[SentRequest], signal_at: Option<Instant>) -> Vec<String> {
+    let mut violations = Vec::new();
+    for sent_request in sent_requests.iter().filter(|sent_request| !sent_request.client_disconnected) {
+        let arrivals = servers.arrivals_of(&sent_request.id);
+        // The gatekeeper reserves some of the time for its response to reach the client.
+        let deadline = sent_request.sent_at + ms(DEADLINE);
+        let drain_limit = signal_at.map(|signal_at| signal_at + GRACE - ms(600));
+        let limit = drain_limit.map_or(deadline, |drain_limit| drain_limit.min(deadline));
+        let Some(response) = &sent_request.response else {
             if !arrivals.is_empty() {
-                found.push(format!("{} was passed on and has no answer: {arrivals:?}", asked.id));
-            } else if asked.first && told.is_none_or(|told| asked.sent < told) {
-                found.push(format!("{} was sent first and has no answer", asked.id));
+                violations
+                    .push(format!("{} was forwarded and has no response: {arrivals:?}", sent_request.id));
+            } else if sent_request.first && signal_at.is_none_or(|signal_at| sent_request.sent_at < signal_at)
+            {
+                violations.push(format!("{} was sent first and has no response", sent_request.id));
             }
             continue;
         };
-        if heard.name.as_ref().is_some_and(|name| *name != asked.id) {
-            found.push(format!("{} heard another's answer", asked.id));
+        if response.attempt_id.as_ref().is_some_and(|id| *id != sent_request.id) {
+            violations.push(format!("{} received the response of another request", sent_request.id));
         }
-        let promises = matches!(heard.status, 429 | 503);
-        let ran = |arrival: &&Arrival| arrival.act.reply != Reply::Away;
-        if promises && arrivals.iter().any(|arrival| ran(&arrival)) {
-            found.push(format!("{} ran and heard {}: {arrivals:?}", asked.id, heard.status));
+        let is_rejection = matches!(response.status, 429 | 503);
+        let was_executed = |arrival: &&Arrival| arrival.scripted.reply != Reply::NotExecuted;
+        if is_rejection && arrivals.iter().any(|arrival| was_executed(&arrival)) {
+            violations.push(format!(
+                "{} was executed and received {}: {arrivals:?}",
+                sent_request.id, response.status
+            ));
         }
         for arrival in &arrivals {
-            let answers = matches!(arrival.act.reply, Reply::Good(_) | Reply::Failure);
-            let done = arrival.begun + ms(arrival.act.work);
+            let is_response = matches!(arrival.scripted.reply, Reply::Success(_) | Reply::Failure);
+            let done = arrival.started_at + ms(arrival.scripted.work_ms);
             let in_time = done + ms(30) < limit;
-            if answers && in_time && !heard.sealed {
-                found.push(format!("{} was answered by a server, not its client: {arrival:?}", asked.id));
+            if is_response && in_time && !response.sealed {
+                violations.push(format!(
+                    "{} has a server's response that did not reach the client: {arrival:?}",
+                    sent_request.id
+                ));
             }
-            if let Some(End::CallerLeft(at)) = arrival.end {
-                let superseded = heard.sealed;
+            if let Some(End::Aborted(at)) = arrival.end {
+                let superseded = response.sealed;
                 if at + ms(30) < limit && !superseded {
-                    found.push(format!("{} was broken off at work: {arrival:?}", asked.id));
+                    violations.push(format!("{} was aborted in progress: {arrival:?}", sent_request.id));
                 }
             }
         }
     }
-    found
+    violations
 }
 
 #[gtest]
-fn whenever_sigterm_comes_each_request_that_was_passed_on_has_its_one_complete_answer() {
-    // The same cases each time; GRANITELEAD_CASES asks for more.
+fn each_forwarded_request_has_one_complete_response_whenever_sigterm_arrives() {
+    // A fixed seed, so the same cases each time; GRANITELEAD_CASES sets their number.
     let cases = std::env::var("GRANITELEAD_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(1_000);
     let mut runner = TestRunner::new(Config {
         cases,
@@ -673,82 +710,91 @@
         ..Config::default()
     });
     let reply = prop_oneof![
-        12 => Just(Reply::Good(20)),
-        1 => Just(Reply::Good(60_000)),
+        12 => Just(Reply::Success(20)),
+        1 => Just(Reply::Success(60_000)),
         1 => Just(Reply::Failure),
-        3 => Just(Reply::Away),
+        3 => Just(Reply::NotExecuted),
         1 => Just(Reply::Close),
         1 => Just(Reply::Reset),
         1 => Just(Reply::Silence),
     ];
     let work = prop_oneof![2 => 0_u64..60, 2 => 60_u64..500, 1 => 500_u64..1_100];
-    let act = (work, reply).prop_map(|(work, reply)| Act { work, reply });
-    let manner = prop_oneof![
-        6 => Just(Manner::Reads),
-        2 => (0_u64..300).prop_map(Manner::Sleeps),
-        1 => Just(Manner::HalfCloses),
-        1 => (0_usize..60).prop_map(Manner::Resets),
+    let scripted = (work, reply).prop_map(|(work_ms, reply)| ScriptedReply { work_ms, reply });
+    let behavior = prop_oneof![
+        6 => Just(ClientBehavior::Reads),
+        2 => (0_u64..300).prop_map(ClientBehavior::ReadsAfter),
+        1 => Just(ClientBehavior::HalfCloses),
+        1 => (0_usize..60).prop_map(ClientBehavior::Resets),
     ];
     let once = proptest::bool::weighted(0.2);
-    let round =
-        (0_u64..400, vec(once, 1..9), manner).prop_map(|(rest, once, manner)| Round { rest, once, manner });
+    let round = (0_u64..400, vec(once, 1..9), behavior)
+        .prop_map(|(pause_ms, at_most_once, behavior)| Round { pause_ms, at_most_once, behavior });
     let clients = vec(vec(round, 1..6), 1..5);
     let end = proptest::option::weighted(0.9, (0_u64..1_500, 0_usize..80));
-    let day = (vec(act, 0..60), clients, end, 1_usize..4, any::<u64>());
-    // Requests of clients that stay; and of them answers of servers, promises, answers to what was sent after SIGTERM,
-    // unanswered, unanswered though sent before SIGTERM.
+    let scenario = (vec(scripted, 0..60), clients, end, 1_usize..4, any::<u64>());
+    // Requests of clients that did not disconnect; of these: responses of servers, 503 responses, responses
+    // to requests sent after SIGTERM, requests without a response, and those of them sent before SIGTERM.
     let counts = RefCell::new([0_usize; 6]);
-    let ran = runner.run(&day, |(script, rounds, end, servers, seed)| {
-        let (servers, asked, told, report) = in_virtual_time(async move {
-            let stage = Stage::new(script, servers, 3, seed).await;
-            let told = Rc::new(RefCell::new(None));
+    let result = runner.run(&scenario, |(script, rounds, end, servers, seed)| {
+        let (servers, sent_requests, signal_at, report) = in_virtual_time(async move {
+            let setup = Setup::new(script, servers, 3, seed).await;
+            let signal_at = Rc::new(RefCell::new(None));
             let tasks: Vec<_> = rounds
                 .into_iter()
                 .enumerate()
                 .map(|(n, rounds)| {
-                    spawn_local(drawn_client(stage.gatekeeper.address, n, rounds, told.clone()))
+                    spawn_local(generated_client(setup.gatekeeper.address, n, rounds, signal_at.clone()))
                 })
                 .collect();
             let mut report = None;
             if let Some((time, n)) = end {
                 sleep(ms(time)).await;
-                turns(n).await;
-                *told.borrow_mut() = Some(Instant::now());
-                report = Some(stage.terminate().await.unwrap());
+                yield_times(n).await;
+                *signal_at.borrow_mut() = Some(Instant::now());
+                report = Some(setup.terminate().await.unwrap());
             }
-            let mut asked = Vec::new();
+            let mut sent_requests = Vec::new();
             for task in tasks {
-                asked.extend(task.await.unwrap());
+                sent_requests.extend(task.await.unwrap());
             }
-            let told = *told.borrow();
-            (stage.servers, asked, told, report)
+            let signal_at = *signal_at.borrow();
+            (setup.servers, sent_requests, signal_at, report)
         });
-        let mut found = faults(&servers, &asked, told);
+        let mut violations = violations(&servers, &sent_requests, signal_at);
         if let Some(report) = report {
             if report.unanswered > 0 || report.took > GRACE - ms(200) {
-                found.push(format!("the process ends with {report}"));
+                violations.push(format!("the process exits with {report}"));
             }
         }
         let mut counts = counts.borrow_mut();
-        let asked: Vec<Asked> = asked.into_iter().filter(|asked| !asked.client_left).collect();
-        counts[0] += asked.len();
-        let answers = || asked.iter().filter_map(|asked| Some((asked, asked.heard.as_ref()?)));
-        counts[1] += answers().filter(|(_, heard)| heard.sealed).count();
-        counts[2] += answers().filter(|(_, heard)| heard.status == 503).count();
-        counts[3] += answers().filter(|(asked, _)| told.is_some_and(|told| asked.sent > told)).count();
-        let unanswered = || asked.iter().filter(|asked| asked.heard.is_none());
+        let sent_requests: Vec<SentRequest> =
+            sent_requests.into_iter().filter(|sent_request| !sent_request.client_disconnected).collect();
+        counts[0] += sent_requests.len();
+        let responses = || {
+            sent_requests
+                .iter()
+                .filter_map(|sent_request| Some((sent_request, sent_request.response.as_ref()?)))
+        };
+        counts[1] += responses().filter(|(_, response)| response.sealed).count();
+        counts[2] += responses().filter(|(_, response)| response.status == 503).count();
+        counts[3] += responses()
+            .filter(|(sent_request, _)| signal_at.is_some_and(|signal_at| sent_request.sent_at > signal_at))
+            .count();
+        let unanswered = || sent_requests.iter().filter(|sent_request| sent_request.response.is_none());
         counts[4] += unanswered().count();
-        counts[5] += unanswered().filter(|asked| told.is_none_or(|told| asked.sent < told)).count();
-        proptest::prop_assert!(found.is_empty(), "{found:#?}");
+        counts[5] += unanswered()
+            .filter(|sent_request| signal_at.is_none_or(|signal_at| sent_request.sent_at < signal_at))
+            .count();
+        proptest::prop_assert!(violations.is_empty(), "{violations:#?}");
         Ok(())
     });
-    let [requests, sealed, promises, after, unanswered, before] = counts.into_inner();
+    let [requests, sealed, rejections, after, unanswered, before] = counts.into_inner();
     println!(
-        "{requests} requests, {sealed} answers of servers, {promises} promises, {after} answers to what was sent after \
-         the signal; {unanswered} without an answer, {before} of them sent before the signal"
+        "{requests} requests, {sealed} responses of servers, {rejections} rejections, {after} responses to \
+         requests sent after the signal; {unanswered} without a response, {before} of them sent before the signal"
     );
-    if let Err(fault) = ran {
-        panic!("{fault}");
+    if let Err(failure) = result {
+        panic!("{failure}");
     }
     expect_that!(sealed * 10, ge(requests * 4));
     expect_that!(after, ge(requests / 100));
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A gatekeeper on real sockets, and clients that speak HTTP to it byte by byte.
+//! Test support: a gatekeeper on real sockets, and a minimal HTTP client that reads raw bytes.
 
-#![allow(dead_code)] // Each file of tests uses a part.
+#![allow(dead_code)] // Each test file uses only a part of it.
 
 pub mod server;
 
@@ -23,10 +23,10 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::timeout;
 
-/// Time from SIGTERM to SIGKILL.
+/// Grace period between SIGTERM and SIGKILL.
 pub const GRACE: Duration = Duration::from_secs(6);
-/// Connections that a gatekeeper takes.
-const CONNECTIONS: usize = 100;
+/// Most client connections of a gatekeeper, and most connections to servers.
+const CONNECTIONS_MAX: usize = 100;
 
 pub fn bounds() -> Bounds {
     let secs = Duration::from_secs;
@@ -43,7 +43,8 @@
     }
 }
 
-/// One service, with a route `/safe/` whose requests may run more than once and a route `/once/` whose may not.
+/// A configuration with one service: requests to `/safe/` are idempotent, requests to `/once/` may run at
+/// most once.
 pub fn configuration(timeout_ms: u64, attempts: u32) -> Vec<u8> {
     let rule = |path: &str, kind: &str| {
         format!(
@@ -63,38 +64,38 @@
     .into_bytes()
 }
 
-/// A gatekeeper that takes clients.
+/// A gatekeeper that accepts clients.
 pub struct Gatekeeper {
-    pub front: Rc<Front>,
+    pub shared: Rc<Front>,
     pub connections: Rc<ClientConnections>,
     pub address: SocketAddr,
     stop_accepting: Rc<Notify>,
 }
 
 impl Gatekeeper {
-    /// Starts one that knows this configuration and these servers.
+    /// Starts a gatekeeper with this configuration and these servers.
     pub async fn start(configuration: Vec<u8>, servers: &[SocketAddr], seed: u64) -> Gatekeeper {
-        let front = Gatekeeper::front(configuration, servers, seed);
+        let shared = Gatekeeper::shared_state(configuration, servers, seed);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let (connections, stop_accepting) = (Rc::new(ClientConnections::default()), Rc::new(Notify::new()));
-        let accepting = Gatekeeper::accept(&front, &connections, listener, &stop_accepting);
+        let accepting = Gatekeeper::accept(&shared, &connections, listener, &stop_accepting);
         spawn_local(accepting);
-        Gatekeeper { front, connections, address, stop_accepting }
+        Gatekeeper { shared, connections, address, stop_accepting }
     }
 
-    /// Accepts clients until it is told to stop.
+    /// Accepts clients until `stop` is notified.
     pub fn accept(
-        front: &Rc<Front>,
+        shared: &Rc<Front>,
         connections: &Rc<ClientConnections>,
         listener: TcpListener,
         stop: &Rc<Notify>,
     ) -> impl Future<Output = ()> {
-        accept_clients(front.clone(), connections.clone(), listener, CONNECTIONS, stop.clone())
+        accept_clients(shared.clone(), connections.clone(), listener, CONNECTIONS_MAX, stop.clone())
     }
 
-    /// One without a listener.
-    pub fn front(configuration: Vec<u8>, servers: &[SocketAddr], seed: u64) -> Rc<Front> {
+    /// The state of a gatekeeper without a listener.
+    pub fn shared_state(configuration: Vec<u8>, servers: &[SocketAddr], seed: u64) -> Rc<Front> {
         let mut gate = Gate::new(Control::new("g", "a", Vec::new(), seed), "a", &bounds(), seed);
         let marker = Ipv4Addr::LOCALHOST;
         let document = Document { version: 1, bytes: configuration };
@@ -103,12 +104,12 @@
         let servers = servers.iter().enumerate().map(|(n, address)| instance(n, *address)).collect();
         gate.take(0, marker, Change::Servers(servers));
         gate.take(0, marker, Change::Whole);
-        Rc::new(Front::new(gate, ConnectionPool::new(CONNECTIONS), 1 << 20))
+        Rc::new(Front::new(gate, ConnectionPool::new(CONNECTIONS_MAX), 1 << 20))
     }
 
-    /// What SIGTERM does, until the process would end.
+    /// Shuts down as after SIGTERM; returns when the process would exit.
     pub async fn terminate(&self) -> ShutdownReport {
-        shut_down(&self.front, &self.connections, &self.stop_accepting, GRACE).await
+        shut_down(&self.shared, &self.connections, &self.stop_accepting, GRACE).await
     }
 }
 
@@ -126,16 +127,16 @@
     }
 }
 
-/// One answer, as a client read it.
+/// One response, as a client received it.
 #[derive(Clone, Debug)]
-pub struct Heard {
+pub struct ClientResponse {
     pub status: u16,
-    /// The id that it carries.
-    pub name: Option<String>,
+    /// The attempt id that it carries.
+    pub attempt_id: Option<String>,
     pub body: String,
-    /// It is a server's own.
+    /// Whether it carries a server's seal, that is, was not generated by the gatekeeper.
     pub sealed: bool,
-    /// The connection closes behind it.
+    /// Whether it announces that the connection closes.
     pub closes: bool,
 }
 
@@ -144,35 +145,38 @@
     lines.find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.to_owned())
 }
 
-/// The next whole answer; `None` where the connection ended before.
-pub async fn hear(stream: &mut (impl AsyncRead + Unpin), bytes: &mut Vec<u8>) -> Option<Heard> {
+/// Reads the next complete response; `None` if the connection ends before.
+pub async fn read_response(
+    stream: &mut (impl AsyncRead + Unpin),
+    bytes: &mut Vec<u8>,
+) -> Option<ClientResponse> {
     let mut piece = vec![0; 16 << 10];
     loop {
         if let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
             let status = head.split(' ').nth(1)?.parse().ok()?;
             let size = header(&head, "content-length")?.parse::<usize>().ok()?;
-            let from = end + 4;
-            if bytes.len() >= from + size {
-                let body = String::from_utf8_lossy(&bytes[from..from + size]).into_owned();
-                bytes.drain(..from + size);
-                let name = header(&head, "x-granitelead-attempt-id");
+            let body_start = end + 4;
+            if bytes.len() >= body_start + size {
+                let body = String::from_utf8_lossy(&bytes[body_start..body_start + size]).into_owned();
+                bytes.drain(..body_start + size);
+                let attempt_id = header(&head, "x-granitelead-attempt-id");
                 let sealed = header(&head, "x-granitelead-server-seal").is_some();
                 let closes = header(&head, "connection").is_some_and(|value| value == "close");
-                return Some(Heard { status, name, body, sealed, closes });
+                return Some(ClientResponse { status, attempt_id, body, sealed, closes });
             }
         }
-        // Longer than any request may take.
+        // Longer than the timeout of any request.
         let read = timeout(Duration::from_secs(30), stream.read(&mut piece)).await;
-        match read.expect("a request is neither answered nor ended") {
+        match read.expect("the request is neither answered nor closed") {
             Ok(0) | Err(_) => return None,
             Ok(n) => bytes.extend_from_slice(&piece[..n]),
         }
     }
 }
 
-/// Lets everything else run so often.
-pub async fn turns(n: usize) {
+/// Yields `n` times, so that other tasks can run.
+pub async fn yield_times(n: usize) {
     for _ in 0..n {
         yield_now().await;
     }
--- a/crates/proxy/tests/support/server.rs
+++ b/crates/proxy/tests/support/server.rs
@@ -1,6 +1,6 @@
-//! Servers that work for a while and then answer as they are told, and keep books of what their callers did.
+//! Test servers that follow a script of replies and record what arrived and how it ended.
 
-use super::{header, turns};
+use super::{header, yield_times};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -11,64 +11,64 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// How a server ends a request.
+/// How a server replies to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// 200, with a body of so many bytes.
-    Good(usize),
+    Success(usize),
     /// 500.
     Failure,
-    /// It was not run: 503.
-    Away,
-    /// The connection closes without an answer.
+    /// 503 with the header that says that the request was not executed.
+    NotExecuted,
+    /// Closes the connection without a response.
     Close,
-    /// It is reset.
+    /// Resets the connection.
     Reset,
-    /// Nothing, ever.
+    /// Never replies.
     Silence,
 }
 
-/// What a server does with one request.
+/// How a server processes one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Act {
-    /// How long it works, ms.
-    pub work: u64,
+pub struct ScriptedReply {
+    /// Processing time, ms.
+    pub work_ms: u64,
     pub reply: Reply,
 }
 
-pub const fn good_after(work: u64) -> Act {
-    Act { work, reply: Reply::Good(20) }
+pub const fn success_after(work_ms: u64) -> ScriptedReply {
+    ScriptedReply { work_ms, reply: Reply::Success(20) }
 }
 
-/// How a request ended at its server.
+/// How a request ended at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The server did as it was told.
-    Done(Instant),
-    /// Its caller closed the connection while it was at work.
-    CallerLeft(Instant),
+    /// The server completed it as scripted.
+    Completed(Instant),
+    /// The gatekeeper closed the connection while the request was being processed.
+    Aborted(Instant),
 }
 
-/// One request that has come to a server.
+/// One request that has arrived at a server.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub id: String,
-    pub act: Act,
-    pub begun: Instant,
+    pub scripted: ScriptedReply,
+    pub started_at: Instant,
     pub end: Option<End>,
 }
 
-/// What all servers do, in the order in which requests come to them, and what came.
+/// The script of all servers, in the order in which requests arrive, and the record of the arrivals.
 #[derive(Default)]
 pub struct Servers {
-    pub script: RefCell<VecDeque<Act>>,
-    /// What is done when the script is over.
-    pub usual: RefCell<Option<Act>>,
+    pub script: RefCell<VecDeque<ScriptedReply>>,
+    /// Used when the script is exhausted.
+    pub default_reply: RefCell<Option<ScriptedReply>>,
     pub arrivals: RefCell<Vec<Arrival>>,
 }
 
 impl Servers {
-    /// Starts so many.
+    /// Starts `count` servers and returns their addresses.
     pub async fn start(self: &Rc<Self>, count: usize) -> Vec<SocketAddr> {
         let mut addresses = Vec::new();
         for _ in 0..count {
@@ -77,47 +77,52 @@
             let servers = self.clone();
             spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    spawn_local(servers.clone().converse(stream));
+                    spawn_local(servers.clone().serve_connection(stream));
                 }
             });
         }
         addresses
     }
 
-    /// The arrivals of one request.
-    pub fn of(&self, id: &str) -> Vec<Arrival> {
+    /// The arrivals of the request with this id.
+    pub fn arrivals_of(&self, id: &str) -> Vec<Arrival> {
         self.arrivals.borrow().iter().filter(|arrival| arrival.id == id).cloned().collect()
     }
 
-    async fn converse(self: Rc<Self>, mut stream: TcpStream) {
+    async fn serve_connection(self: Rc<Self>, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        // What is dropped is reset, so that no port stays taken; whoever closes says so.
+        // A dropped socket is reset, so that no port stays in TIME_WAIT; orderly closes are explicit.
         let _ = stream.set_zero_linger();
         while let Some(id) = read_request(&mut stream).await {
-            let act = self.script.borrow_mut().pop_front().or(*self.usual.borrow()).unwrap_or(good_after(20));
-            let place = self.arrivals.borrow().len();
-            let arrival = Arrival { id: id.clone(), act, begun: Instant::now(), end: None };
+            let scripted = self
+                .script
+                .borrow_mut()
+                .pop_front()
+                .or(*self.default_reply.borrow())
+                .unwrap_or(success_after(20));
+            let index = self.arrivals.borrow().len();
+            let arrival = Arrival { id: id.clone(), scripted, started_at: Instant::now(), end: None };
             self.arrivals.borrow_mut().push(arrival);
-            let end = |end| self.arrivals.borrow_mut()[place].end = Some(end);
+            let end = |end| self.arrivals.borrow_mut()[index].end = Some(end);
             let work = async {
-                match act.reply {
+                match scripted.reply {
                     Reply::Silence => std::future::pending().await,
-                    _ => sleep(Duration::from_millis(act.work)).await,
+                    _ => sleep(Duration::from_millis(scripted.work_ms)).await,
                 }
             };
             tokio::select! {
                 biased;
-                () = left(&stream) => return end(End::CallerLeft(Instant::now())),
+                () = disconnected(&stream) => return end(End::Aborted(Instant::now())),
                 () = work => {}
             }
-            end(End::Done(Instant::now()));
-            let text = match act.reply {
-                Reply::Good(size) => answer(200, &id, "", &"x".repeat(size)),
-                Reply::Failure => answer(500, &id, "", "failed"),
-                Reply::Away => answer(503, &id, "X-Granitelead-Not-Executed: 1\r\n", ""),
+            end(End::Completed(Instant::now()));
+            let text = match scripted.reply {
+                Reply::Success(size) => response_text(200, &id, "", &"x".repeat(size)),
+                Reply::Failure => response_text(500, &id, "", "failed"),
+                Reply::NotExecuted => response_text(503, &id, "X-Granitelead-Not-Executed: 1\r\n", ""),
                 Reply::Close => {
                     let _ = stream.shutdown().await;
-                    turns(20).await;
+                    yield_times(20).await;
                     return;
                 }
                 Reply::Reset | Reply::Silence => return,
@@ -129,15 +134,15 @@
     }
 }
 
-/// Completes when the peer has closed or reset the connection.
-async fn left(stream: &TcpStream) {
+/// Completes when the peer closes or resets the connection.
+async fn disconnected(stream: &TcpStream) {
     let mut byte = [0];
     if let Ok(1..) = stream.peek(&mut byte).await {
         std::future::pending::<()>().await;
     }
 }
 
-/// The id of the next request, once it has come whole.
+/// Reads the next complete request and returns its attempt id.
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     let mut piece = [0; 4 << 10];
@@ -156,7 +161,7 @@
     }
 }
 
-fn answer(status: u16, id: &str, more: &str, body: &str) -> String {
+fn response_text(status: u16, id: &str, more: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status} Some\r\nX-Granitelead-Attempt-Id: {id}\r\nX-Granitelead-Server-Seal: s\r\n{more}\
          Keep-Alive: timeout=5\r\nContent-Length: {}\r\n\r\n{body}",
