--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -7,8 +7,8 @@
 use crate::pool::ConnectionPool;
 use crate::Millis;
 use bytes::Bytes;
-use granitelead_common::configuration::Repeats;
-use granitelead_common::kinds::Kind;
+use granitelead_common::configuration::RetrySafety;
+use granitelead_common::error_kinds::ErrorKind;
 use hyper::header::{HeaderValue, HOST, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::Response;
@@ -69,7 +69,7 @@
         let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
         let gate = self.gate.borrow();
         let route = gate.configuration.as_ref().and_then(|c| c.route(host, parts.uri.path()));
-        route.is_some_and(|route| route.repeats == Repeats::Safe)
+        route.is_some_and(|route| route.retry_safety == RetrySafety::Idempotent)
     }
 
     /// Completes at this time, as given by [`Front::now`].
@@ -97,16 +97,16 @@
     }
 
     /// The error response of this kind, for a request that gets no response from a server.
-    pub fn refuse(&self, kind: Kind, pass: Option<&Pass>) -> Response<ResponseBody> {
+    pub fn refuse(&self, kind: ErrorKind, pass: Option<&Pass>) -> Response<ResponseBody> {
         self.refuse_for(kind.into(), pass)
     }
 
     /// Like [`Front::refuse`], with `Retry-After` computed from the refusal's wait.
     pub fn refuse_for(&self, refusal: Refusal, pass: Option<&Pass>) -> Response<ResponseBody> {
-        let row = refusal.kind.row();
+        let row = refusal.kind.response();
         let mut response = Response::new(full_body(Bytes::from(format!("{}: {}\n", row.name, row.advice))));
         *response.status_mut() = hyper::StatusCode::from_u16(row.status).unwrap_or_default();
-        if row.promises {
+        if row.not_executed {
             let target_latency = pass.map_or(200, |pass| pass.route().target.as_millis() as Millis);
             let wait = self.gate.borrow_mut().come_back(target_latency, refusal.wait);
             let text = format!("{:.3}", wait as f64 / 1e3);
--- a/crates/proxy/src/handler.rs
+++ b/crates/proxy/src/handler.rs
@@ -6,7 +6,7 @@
 use crate::messages::ResponseBody;
 use crate::pool::names;
 use bytes::Bytes;
-use granitelead_common::kinds::Kind;
+use granitelead_common::error_kinds::ErrorKind;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HOST};
@@ -75,7 +75,7 @@
     body: Option<&mut Incoming>,
 ) -> Response<ResponseBody> {
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
-    let Some(host) = host.or(parts.uri.host()) else { return shared.refuse(Kind::Malformed, None) };
+    let Some(host) = host.or(parts.uri.host()) else { return shared.refuse(ErrorKind::Malformed, None) };
     wait_for_configuration(shared, &parts.headers).await;
     let admitted = shared.gate.borrow_mut().admit(shared.now(), host, parts.uri.path(), &parts.headers);
     let pass = match admitted {
@@ -83,7 +83,7 @@
         Err(refusal) => return shared.refuse_for(refusal, None),
     };
     let _tenant = OpenTenantRequest::begin(shared, &pass);
-    let limit = usize::try_from(pass.configuration.limits.body).unwrap_or(usize::MAX);
+    let limit = usize::try_from(pass.configuration.limits.max_body_bytes).unwrap_or(usize::MAX);
     let body = match body {
         None => Bytes::new(),
         Some(body) => match read_body(body, limit.min(shared.buffered_bytes_max)).await {
@@ -93,7 +93,7 @@
     };
     let _buffered = CounterGuard::up(&shared.buffered_bytes, body.len());
     if shared.buffered_bytes.get() > shared.buffered_bytes_max {
-        return shared.refuse(Kind::NoRoom, Some(&pass));
+        return shared.refuse(ErrorKind::Overloaded, Some(&pass));
     }
     forward(shared, parts, body, &pass).await
 }
@@ -114,11 +114,11 @@
     let _ = tokio::time::timeout(wait, configured).await;
 }
 
-async fn read_body(body: &mut Incoming, limit: usize) -> Result<Bytes, Kind> {
+async fn read_body(body: &mut Incoming, limit: usize) -> Result<Bytes, ErrorKind> {
     match tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, limit).collect()).await {
-        Err(_) => Err(Kind::TooSlow),
+        Err(_) => Err(ErrorKind::TooSlow),
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Kind::TooLarge),
-        Ok(Err(_)) => Err(Kind::Malformed),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(ErrorKind::TooLarge),
+        Ok(Err(_)) => Err(ErrorKind::Malformed),
     }
 }
--- a/crates/proxy/src/listeners.rs
+++ b/crates/proxy/src/listeners.rs
@@ -42,7 +42,8 @@
     if shared.drain().is_some() {
         connection.request_close(IDLE_BEFORE_CLOSE);
     }
-    let head = shared.gate.borrow().configuration.as_ref().map_or(HEAD_BUFFER_MIN, |c| c.limits.head);
+    let head =
+        shared.gate.borrow().configuration.as_ref().map_or(HEAD_BUFFER_MIN, |c| c.limits.max_header_bytes);
     let (service_shared, service_connection) = (shared.clone(), connection.clone());
     let service = service_fn(move |request: Request<Incoming>| {
         let (shared, connection) = (service_shared.clone(), service_connection.clone());
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -67,7 +67,7 @@
     let headers = request.headers_mut();
     for (name, value) in &parts.headers {
         let is_internal = [names::DEADLINE, names::EXPECTED, names::TENANT].contains(name);
-        let is_api_key = *name == AUTHORIZATION && pass.configuration.keyed;
+        let is_api_key = *name == AUTHORIZATION && pass.configuration.requires_key;
         if !is_internal && !is_api_key && !is_hop_by_hop(name, &connection_options) {
             headers.append(name, value.clone());
         }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use granitelead_base::set_user_timeout;
 use granitelead_base::wire::{Place, Wire, WireIo};
-use granitelead_common::configuration::Repeats;
+use granitelead_common::configuration::RetrySafety;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Body as _;
 use hyper::body::Incoming;
@@ -129,7 +129,7 @@
     }
 
     /// Takes an idle connection that may carry a request of this kind.
-    fn take(&self, to: SocketAddr, repeats: Repeats) -> Option<IdleConnection> {
+    fn take(&self, to: SocketAddr, repeats: RetrySafety) -> Option<IdleConnection> {
         let now = Instant::now();
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(&to)?;
@@ -138,8 +138,9 @@
         });
         // The most recently used one first, so that the others can expire.
         loop {
-            let fits =
-                |connection: &IdleConnection| repeats == Repeats::Safe || now < connection.promised_until;
+            let fits = |connection: &IdleConnection| {
+                repeats == RetrySafety::Idempotent || now < connection.promised_until
+            };
             let connection = idle.remove(idle.iter().rposition(fits)?);
             // hyper notices received bytes or a close only at its next poll, when the request would already
             // be sent.
@@ -188,7 +189,7 @@
         to: SocketAddr,
         request: Request<Full<Bytes>>,
         id: &[u8],
-        repeats: Repeats,
+        repeats: RetrySafety,
         time: Duration,
     ) -> AttemptResult {
         let started_at = Instant::now();
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -113,7 +113,7 @@
         }
         let limits =
             shared.gate.borrow().configuration.as_ref().map(|c| c.limits.clone()).unwrap_or_default();
-        connections.close_stale(limits.head_time, limits.idle_time);
+        connections.close_stale(limits.header_timeout, limits.idle_timeout);
         shared.pool.sweep(|_| true);
     }
 }
--- a/crates/proxy/tests/caller.rs
+++ b/crates/proxy/tests/caller.rs
@@ -7,7 +7,7 @@
 mod support;
 
 use googletest::prelude::*;
-use granitelead_common::configuration::Repeats;
+use granitelead_common::configuration::RetrySafety;
 use granitelead_proxy::pool::ConnectionPool;
 use granitelead_proxy::request_state::Outcome;
 use proptest::collection::vec;
@@ -787,7 +787,7 @@
             let send = |id: &'static str| {
                 let request = hyper::Request::post("/once/").header("x-granitelead-attempt-id", id);
                 let request = request.body(http_body_util::Full::default()).unwrap();
-                pool.send(at, request, id.as_bytes(), Repeats::Once, Duration::from_secs(3))
+                pool.send(at, request, id.as_bytes(), RetrySafety::AtMostOnce, Duration::from_secs(3))
             };
             let serve = |mut stream: TcpStream, id: &'static str| async move {
                 let mut bytes = vec![0; 8 << 10];
