--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -6,12 +6,12 @@
 
 use crate::aborts::AbortCause;
 use crate::drain::Drain;
-use crate::front::Front;
 use crate::gate::Pass;
 use crate::messages::{build_client_response, build_server_request, ResponseBody};
 use crate::pool::{names, AttemptResult, ServerResponse};
 use crate::request_state::{Next, Outcome, RequestState};
 use crate::servers::Sign;
+use crate::shared_state::SharedState;
 use crate::Millis;
 use bytes::Bytes;
 use hyper::http::request::Parts;
@@ -31,7 +31,7 @@
 
 /// Counts a request as in flight at a server and at its service until dropped.
 struct InFlightGuard<'f> {
-    shared: &'f Front,
+    shared: &'f SharedState,
     server: Rc<str>,
     service: &'f str,
     target_latency: Millis,
@@ -63,7 +63,7 @@
         let (gate, now) = (&mut *self.shared.gate.borrow_mut(), self.shared.now());
         gate.servers.end(now, &self.server, sign, self.target_latency);
         gate.room.end(now, self.service, fraction_of_target);
-        self.shared.room.notify_one();
+        self.shared.capacity_freed.notify_one();
     }
 }
 
@@ -98,7 +98,7 @@
 
 /// A request that is being forwarded.
 struct Forwarding<'f> {
-    shared: &'f Front,
+    shared: &'f SharedState,
     parts: &'f Parts,
     body: Bytes,
     pass: &'f Pass,
@@ -111,7 +111,12 @@
 }
 
 /// Forwards an admitted request and returns its one response.
-pub async fn forward(shared: &Front, parts: &Parts, body: Bytes, pass: &Pass) -> Response<ResponseBody> {
+pub async fn forward(
+    shared: &SharedState,
+    parts: &Parts,
+    body: Bytes,
+    pass: &Pass,
+) -> Response<ResponseBody> {
     let route = pass.route();
     let state = RequestState {
         repeats: route.retry_safety,
@@ -174,7 +179,7 @@
             }
             // A waiter that is woken and still finds no server waits again; the wake-up is not passed on.
             let wait = Duration::from_millis(until - now);
-            let _ = tokio::time::timeout(wait, self.shared.room.notified()).await;
+            let _ = tokio::time::timeout(wait, self.shared.capacity_freed.notified()).await;
         }
     }
 
@@ -200,10 +205,10 @@
         let now = self.shared.now();
         let left = self.pass.deadline.saturating_sub(now);
         let request = build_server_request(self.parts, self.body.clone(), self.pass, &server.id, left);
-        let (shared, attempt_id, repeats) = (self.shared, self.attempt_id.clone(), self.state.repeats);
+        let (shared, attempt_id, retry_safety) = (self.shared, self.attempt_id.clone(), self.state.repeats);
         let exchange = async move {
             let time = Duration::from_millis(left);
-            shared.pool.send(server.address, request, &attempt_id, repeats, time).await
+            shared.pool.send(server.address, request, &attempt_id, retry_safety, time).await
         };
         let guard = InFlightGuard {
             shared,
--- a/crates/proxy/src/handler.rs
+++ b/crates/proxy/src/handler.rs
@@ -1,10 +1,10 @@
 //! Handles one request: admission, reading the body, forwarding, and its one response.
 
 use crate::forward::forward;
-use crate::front::Front;
 use crate::gate::Pass;
 use crate::messages::ResponseBody;
 use crate::pool::names;
+use crate::shared_state::SharedState;
 use bytes::Bytes;
 use granitelead_common::error_kinds::ErrorKind;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -40,10 +40,10 @@
 }
 
 /// Counts a request as open for its tenant until dropped.
-struct OpenTenantRequest<'f>(&'f Front, Option<String>);
+struct OpenTenantRequest<'f>(&'f SharedState, Option<String>);
 
 impl<'f> OpenTenantRequest<'f> {
-    fn begin(shared: &'f Front, pass: &Pass) -> OpenTenantRequest<'f> {
+    fn begin(shared: &'f SharedState, pass: &Pass) -> OpenTenantRequest<'f> {
         if let Some(tenant) = &pass.tenant {
             shared.gate.borrow_mut().tenants.open(tenant, 1.0);
         }
@@ -61,7 +61,7 @@
 
 /// Handles one request and returns its response. `body` is `None` for a request without a body.
 pub async fn handle_request(
-    shared: &Front,
+    shared: &SharedState,
     parts: &Parts,
     body: Option<&mut Incoming>,
 ) -> Response<ResponseBody> {
@@ -70,7 +70,7 @@
 }
 
 async fn process_request(
-    shared: &Front,
+    shared: &SharedState,
     parts: &Parts,
     body: Option<&mut Incoming>,
 ) -> Response<ResponseBody> {
@@ -100,7 +100,7 @@
 
 /// Waits a limited time for the first configuration. It arrives soon after a start, so requests need not be
 /// rejected.
-async fn wait_for_configuration(shared: &Front, headers: &HeaderMap) {
+async fn wait_for_configuration(shared: &SharedState, headers: &HeaderMap) {
     let time_left = headers.get(names::DEADLINE).and_then(|value| value.to_str().ok()?.parse().ok());
     let wait = time_left
         .map_or(CONFIGURATION_WAIT_MAX, Duration::from_millis)
@@ -108,7 +108,7 @@
         .min(CONFIGURATION_WAIT_MAX);
     let configured = async {
         while shared.gate.borrow().configuration.is_none() {
-            shared.news.notified().await;
+            shared.marker_updates.notified().await;
         }
     };
     let _ = tokio::time::timeout(wait, configured).await;
--- a/crates/proxy/src/listeners.rs
+++ b/crates/proxy/src/listeners.rs
@@ -2,9 +2,9 @@
 
 use crate::client_stream::ClientStream;
 use crate::connections::{ClientConnections, ConnectionSlot};
-use crate::front::Front;
 use crate::handler::handle_request;
 use crate::metrics;
+use crate::shared_state::SharedState;
 use bytes::Bytes;
 use granitelead_base::{set_user_timeout, ACCEPT_PAUSE};
 use http_body_util::Full;
@@ -35,7 +35,7 @@
 pub const IDLE_BEFORE_CLOSE: Duration = Duration::from_secs(1);
 
 /// Serves one client's connection until it ends.
-pub async fn serve_client(shared: Rc<Front>, slot: ConnectionSlot, stream: TcpStream) {
+pub async fn serve_client(shared: Rc<SharedState>, slot: ConnectionSlot, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     set_user_timeout(&stream, UNACKNOWLEDGED_MAX, &Cell::new(1));
     let connection = slot.connection.clone();
@@ -92,7 +92,7 @@
 
 /// Accepts clients until `stop` is notified and the listener's backlog has been emptied.
 pub async fn accept_clients(
-    shared: Rc<Front>,
+    shared: Rc<SharedState>,
     connections: Rc<ClientConnections>,
     listener: TcpListener,
     connections_max: usize,
@@ -120,7 +120,7 @@
 }
 
 /// Serves the readiness check and the metrics to the platform.
-pub async fn serve_readiness(shared: Rc<Front>, listener: TcpListener) {
+pub async fn serve_readiness(shared: Rc<SharedState>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -130,7 +130,7 @@
     }
 }
 
-async fn serve_readiness_connection(shared: Rc<Front>, stream: TcpStream) {
+async fn serve_readiness_connection(shared: Rc<SharedState>, stream: TcpStream) {
     let service = service_fn(move |request: Request<Incoming>| {
         let gate = shared.gate.borrow();
         let (status, body) = match (request.uri().path(), gate.is_ready()) {
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -129,7 +129,7 @@
     }
 
     /// Takes an idle connection that may carry a request of this kind.
-    fn take(&self, to: SocketAddr, repeats: RetrySafety) -> Option<IdleConnection> {
+    fn take(&self, to: SocketAddr, retry_safety: RetrySafety) -> Option<IdleConnection> {
         let now = Instant::now();
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(&to)?;
@@ -139,7 +139,7 @@
         // The most recently used one first, so that the others can expire.
         loop {
             let fits = |connection: &IdleConnection| {
-                repeats == RetrySafety::Idempotent || now < connection.promised_until
+                retry_safety == RetrySafety::Idempotent || now < connection.promised_until
             };
             let connection = idle.remove(idle.iter().rposition(fits)?);
             // hyper notices received bytes or a close only at its next poll, when the request would already
@@ -183,20 +183,20 @@
     }
 
     /// Sends a request to a server and reads the response, within `time`. `id` is the client's attempt id;
-    /// `repeats` determines which idle connections may be used. Dropping the future closes the connection.
+    /// `retry_safety` determines which idle connections may be used. Dropping the future closes the connection.
     pub async fn send(
         self: &Rc<Self>,
         to: SocketAddr,
         request: Request<Full<Bytes>>,
         id: &[u8],
-        repeats: RetrySafety,
+        retry_safety: RetrySafety,
         time: Duration,
     ) -> AttemptResult {
         let started_at = Instant::now();
         let mut request = request;
         // Retried once: a connection that was closed in the meantime returns the request unsent.
         for _ in 0..2 {
-            let Some(mut connection) = (match self.take(to, repeats) {
+            let Some(mut connection) = (match self.take(to, retry_safety) {
                 Some(connection) => Some(connection),
                 None => self.open(to, time).await,
             }) else {
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -2,11 +2,11 @@
 
 use crate::connections::ClientConnections;
 use crate::control::Control;
-use crate::front::Front;
 use crate::gate::Gate;
 use crate::listeners::{accept_clients, serve_readiness};
 use crate::pool::ConnectionPool;
 use crate::sessions::Sessions;
+use crate::shared_state::SharedState;
 use crate::shutdown::shut_down;
 use granitelead_common::settings::{self, Settings};
 use snafu::{ResultExt, Snafu};
@@ -70,7 +70,7 @@
     let gate = Gate::new(control, &settings.zone, &settings.bounds, fastrand::u64(..));
     let connections_max = settings.descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(64) as usize / 2;
     let buffered_bytes_max = settings.memory_mb as usize * (1 << 20) / BODY_MEMORY_DIVISOR;
-    let shared = Rc::new(Front::new(gate, ConnectionPool::new(connections_max), buffered_bytes_max));
+    let shared = Rc::new(SharedState::new(gate, ConnectionPool::new(connections_max), buffered_bytes_max));
     let connections = Rc::new(ClientConnections::default());
     let (listener, readiness_listener) = (listen(front_address).await?, listen(readiness_address).await?);
     let stop_accepting = Rc::new(Notify::new());
@@ -99,7 +99,7 @@
 
 /// Reloads the settings file, each second and at SIGHUP, and closes connections that have been idle for too
 /// long.
-async fn run_housekeeping(shared: &Front, connections: &ClientConnections, mut hang_up: Signal) {
+async fn run_housekeeping(shared: &SharedState, connections: &ClientConnections, mut hang_up: Signal) {
     loop {
         tokio::select! {
             _ = hang_up.recv() => {}
--- a/crates/proxy/src/sessions.rs
+++ b/crates/proxy/src/sessions.rs
@@ -1,6 +1,6 @@
 //! Sessions with markers: opened as far as they are wanted, held while both sides speak.
 
-use crate::front::Front;
+use crate::shared_state::SharedState;
 use granitelead_base::Backoff;
 use granitelead_control_protocol::connection::{self, Sender};
 use granitelead_control_protocol::messages::{Message, ToGatekeeper, ToMarker};
@@ -27,7 +27,7 @@
 
 /// A gatekeeper's sessions with markers.
 pub struct Sessions {
-    front: Rc<Front>,
+    shared: Rc<SharedState>,
     port: u16,
     open: RefCell<BTreeMap<Ipv4Addr, Sender>>,
     connecting: RefCell<BTreeSet<Ipv4Addr>>,
@@ -36,9 +36,9 @@
 
 impl Sessions {
     /// None yet; markers listen at this port.
-    pub fn new(front: Rc<Front>, port: u16) -> Rc<Sessions> {
+    pub fn new(shared: Rc<SharedState>, port: u16) -> Rc<Sessions> {
         Rc::new(Sessions {
-            front,
+            shared,
             port,
             open: RefCell::default(),
             connecting: RefCell::default(),
@@ -51,12 +51,12 @@
         loop {
             self.look();
             let (was_ready, batch, is_ready) = {
-                let gate = &mut *self.front.gate.borrow_mut();
-                (gate.is_ready(), gate.on_batch(self.front.now()), gate.is_ready())
+                let gate = &mut *self.shared.gate.borrow_mut();
+                (gate.is_ready(), gate.on_batch(self.shared.now()), gate.is_ready())
             };
             self.say(batch);
             if is_ready && !was_ready {
-                self.front.news.notify_waiters();
+                self.shared.marker_updates.notify_waiters();
             }
             tokio::time::sleep(BATCH).await;
         }
@@ -87,9 +87,9 @@
     fn look(self: &Rc<Self>) {
         let wanted = {
             let connecting = self.connecting.borrow();
-            self.front.gate.borrow_mut().control.wanted(&connecting)
+            self.shared.gate.borrow_mut().control.wanted(&connecting)
         };
-        if let Some(ip) = self.front.gate.borrow().control.surplus() {
+        if let Some(ip) = self.shared.gate.borrow().control.surplus() {
             self.open.borrow().get(&ip).iter().for_each(|line| line.close());
         }
         if let Some(ip) = wanted {
@@ -115,9 +115,9 @@
         self.backoff.borrow_mut().reset();
         let sender = Sender::default();
         let hello = {
-            let gate = &mut *self.front.gate.borrow_mut();
+            let gate = &mut *self.shared.gate.borrow_mut();
             let (has, servers) = (gate.revision(), gate.servers.all());
-            gate.control.open(self.front.now(), ip, has, servers)
+            gate.control.open(self.shared.now(), ip, has, servers)
         };
         self.open.borrow_mut().insert(ip, sender.clone());
         self.connecting.borrow_mut().remove(&ip);
@@ -128,7 +128,7 @@
             let mut said = Instant::now();
             loop {
                 tokio::time::sleep(PING).await;
-                let home = self.front.gate.borrow().control.home() == Some(ip);
+                let home = self.shared.gate.borrow().control.home() == Some(ip);
                 if home || said.elapsed() >= PING_OTHER {
                     said = Instant::now();
                     sender.send(&Message::ToMarker(ToMarker::Ping));
@@ -141,18 +141,18 @@
         };
         log::info!("session with {ip}: {ended}");
         self.open.borrow_mut().remove(&ip);
-        let say = self.front.gate.borrow_mut().control.close(ip);
+        let say = self.shared.gate.borrow_mut().control.close(ip);
         self.say(say);
     }
 
     fn take(&self, ip: Ipv4Addr, word: Message) {
         let Message::ToGatekeeper(word) = word else { return };
-        let now = self.front.now();
+        let now = self.shared.now();
         let news = word != ToGatekeeper::Pong;
-        let say = self.front.gate.borrow_mut().on_down(now, ip, word);
+        let say = self.shared.gate.borrow_mut().on_down(now, ip, word);
         if news {
-            self.front.room.notify_waiters();
-            self.front.news.notify_waiters();
+            self.shared.capacity_freed.notify_waiters();
+            self.shared.marker_updates.notify_waiters();
         }
         self.say(say);
     }
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/shared_state.rs
@@ -19,15 +19,15 @@
 use tokio::time::Instant;
 
 /// State shared by all requests of a gatekeeper.
-pub struct Front {
+pub struct SharedState {
     /// Configuration, servers, quotas and limits, by which requests are admitted.
     pub gate: RefCell<Gate>,
     /// Connections to servers.
     pub pool: Rc<ConnectionPool>,
     /// Notified when a request has ended at a server or an update of the servers has arrived.
-    pub room: Notify,
+    pub capacity_freed: Notify,
     /// Notified when a message from a marker has been processed.
-    pub news: Notify,
+    pub marker_updates: Notify,
     /// Requests in progress.
     pub open_requests: Cell<usize>,
     /// Bytes of request bodies that are buffered now.
@@ -40,15 +40,15 @@
     started_at: Instant,
 }
 
-impl Front {
+impl SharedState {
     /// Creates the state without any requests; `buffered_bytes_max` limits the buffered bytes of request
     /// bodies.
-    pub fn new(gate: Gate, pool: ConnectionPool, buffered_bytes_max: usize) -> Front {
-        Front {
+    pub fn new(gate: Gate, pool: ConnectionPool, buffered_bytes_max: usize) -> SharedState {
+        SharedState {
             gate: RefCell::new(gate),
             pool: Rc::new(pool),
-            room: Notify::new(),
-            news: Notify::new(),
+            capacity_freed: Notify::new(),
+            marker_updates: Notify::new(),
             open_requests: Cell::new(0),
             buffered_bytes: Cell::new(0),
             buffered_bytes_max,
@@ -72,7 +72,7 @@
         route.is_some_and(|route| route.retry_safety == RetrySafety::Idempotent)
     }
 
-    /// Completes at this time, as given by [`Front::now`].
+    /// Completes at this time, as given by [`SharedState::now`].
     pub async fn sleep_until(&self, at: Millis) {
         tokio::time::sleep_until(self.started_at + Duration::from_millis(at)).await;
     }
@@ -91,7 +91,7 @@
         self.gate.borrow().drain
     }
 
-    /// Completes when [`Front::begin_drain`] is called.
+    /// Completes when [`SharedState::begin_drain`] is called.
     pub async fn drain_started(&self) {
         self.drain_started.notified().await;
     }
@@ -101,12 +101,15 @@
         self.refuse_for(kind.into(), pass)
     }
 
-    /// Like [`Front::refuse`], with `Retry-After` computed from the refusal's wait.
+    /// Like [`SharedState::refuse`], with `Retry-After` computed from the refusal's wait.
     pub fn refuse_for(&self, refusal: Refusal, pass: Option<&Pass>) -> Response<ResponseBody> {
-        let row = refusal.kind.response();
-        let mut response = Response::new(full_body(Bytes::from(format!("{}: {}\n", row.name, row.advice))));
-        *response.status_mut() = hyper::StatusCode::from_u16(row.status).unwrap_or_default();
-        if row.not_executed {
+        let error_response = refusal.kind.response();
+        let mut response = Response::new(full_body(Bytes::from(format!(
+            "{}: {}\n",
+            error_response.name, error_response.advice
+        ))));
+        *response.status_mut() = hyper::StatusCode::from_u16(error_response.status).unwrap_or_default();
+        if error_response.not_executed {
             let target_latency = pass.map_or(200, |pass| pass.route().target.as_millis() as Millis);
             let wait = self.gate.borrow_mut().come_back(target_latency, refusal.wait);
             let text = format!("{:.3}", wait as f64 / 1e3);
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,8 +1,8 @@
 //! Graceful shutdown after SIGTERM: every request that was read is answered before the process exits.
 
 use crate::connections::ClientConnections;
-use crate::front::Front;
 use crate::listeners::IDLE_BEFORE_CLOSE;
+use crate::shared_state::SharedState;
 use std::fmt;
 use std::time::Duration;
 use tokio::sync::Notify;
@@ -32,7 +32,7 @@
 /// `stop_accepting`. Each request that was read is answered, and each connection closes after its last
 /// response.
 pub async fn shut_down(
-    shared: &Front,
+    shared: &SharedState,
     connections: &ClientConnections,
     stop_accepting: &Notify,
     grace: Duration,
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -8,10 +8,10 @@
 use granitelead_control_protocol::messages::{Document, Instance, InstanceState};
 use granitelead_proxy::connections::ClientConnections;
 use granitelead_proxy::control::{Change, Control};
-use granitelead_proxy::front::Front;
 use granitelead_proxy::gate::Gate;
 use granitelead_proxy::listeners::accept_clients;
 use granitelead_proxy::pool::ConnectionPool;
+use granitelead_proxy::shared_state::SharedState;
 use granitelead_proxy::shutdown::{shut_down, ShutdownReport};
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -66,7 +66,7 @@
 
 /// A gatekeeper that accepts clients.
 pub struct Gatekeeper {
-    pub shared: Rc<Front>,
+    pub shared: Rc<SharedState>,
     pub connections: Rc<ClientConnections>,
     pub address: SocketAddr,
     stop_accepting: Rc<Notify>,
@@ -86,7 +86,7 @@
 
     /// Accepts clients until `stop` is notified.
     pub fn accept(
-        shared: &Rc<Front>,
+        shared: &Rc<SharedState>,
         connections: &Rc<ClientConnections>,
         listener: TcpListener,
         stop: &Rc<Notify>,
@@ -95,7 +95,7 @@
     }
 
     /// The state of a gatekeeper without a listener.
-    pub fn shared_state(configuration: Vec<u8>, servers: &[SocketAddr], seed: u64) -> Rc<Front> {
+    pub fn shared_state(configuration: Vec<u8>, servers: &[SocketAddr], seed: u64) -> Rc<SharedState> {
         let mut gate = Gate::new(Control::new("g", "a", Vec::new(), seed), "a", &bounds(), seed);
         let marker = Ipv4Addr::LOCALHOST;
         let document = Document { version: 1, bytes: configuration };
@@ -104,7 +104,7 @@
         let servers = servers.iter().enumerate().map(|(n, address)| instance(n, *address)).collect();
         gate.take(0, marker, Change::Servers(servers));
         gate.take(0, marker, Change::Whole);
-        Rc::new(Front::new(gate, ConnectionPool::new(CONNECTIONS_MAX), 1 << 20))
+        Rc::new(SharedState::new(gate, ConnectionPool::new(CONNECTIONS_MAX), 1 << 20))
     }
 
     /// Shuts down as after SIGTERM; returns when the process would exit.
