--- a/crates/proxy/src/room.rs
+++ b/crates/proxy/src/concurrency_limits.rs
@@ -33,11 +33,11 @@
 
 /// The concurrency limits of all services.
 #[derive(Default)]
-pub struct Room {
+pub struct ConcurrencyLimits {
     services: BTreeMap<String, ServiceLimit>,
 }
 
-impl Room {
+impl ConcurrencyLimits {
     fn service(&mut self, name: &str) -> &mut ServiceLimit {
         let new = || ServiceLimit { limit: LIMIT_BOUNDS.1, in_flight: 0, average: 0.0, decreased_at: 0 };
         self.services.entry(name.to_owned()).or_insert_with(new)
@@ -81,7 +81,7 @@
     /// Offers `a_second` requests per second to a service that processes eight at a time, 100 ms each, with a
     /// target latency of 300 ms. Returns the mean response time as a fraction of the target, and the number
     /// of admitted requests, in the last of ten seconds.
-    fn offer(limits: &mut Room, from: Millis, a_second: u64) -> (f64, usize) {
+    fn offer(limits: &mut ConcurrencyLimits, from: Millis, a_second: u64) -> (f64, usize) {
         let (mut free, mut ends, mut last) = (vec![from; 8], Vec::<(Millis, f64)>::new(), Vec::new());
         for now in from..from + 10_000 {
             ends.sort_by_key(|(at, _)| std::cmp::Reverse(*at));
@@ -107,7 +107,7 @@
 
     #[gtest]
     fn overload_is_rejected_so_that_the_rest_is_in_time_and_the_limit_recovers() {
-        let mut limits = Room::default();
+        let mut limits = ConcurrencyLimits::default();
         let (fraction, served) = offer(&mut limits, 0, 60);
         expect_that!(fraction, le(0.5));
         expect_that!(served, ge(59));
@@ -120,7 +120,7 @@
 
     #[gtest]
     fn higher_priorities_are_admitted_where_lower_ones_are_not() {
-        let mut limits = Room::default();
+        let mut limits = ConcurrencyLimits::default();
         limits.service("s").limit = 10.0;
         (0..10).for_each(|_| limits.begin("s"));
         expect_that!(
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -1,10 +1,10 @@
 //! What a gatekeeper holds, as one state machine: requests are routed, their keys checked, their tenants counted.
 
 use crate::budget::Budget;
+use crate::concurrency_limits::ConcurrencyLimits;
 use crate::control::{Change, Control};
 use crate::drain::Drain;
 use crate::pool::names;
-use crate::room::Room;
 use crate::servers::Servers;
 use crate::split::Splits;
 use crate::tenants::Tenants;
@@ -74,7 +74,7 @@
     /// Which of its services each route goes to next.
     splits: Splits,
     /// How much each service may have under way from here.
-    pub room: Room,
+    pub room: ConcurrencyLimits,
     /// Further tries.
     pub budget: Budget,
     /// The sessions with markers.
@@ -96,7 +96,7 @@
             servers: Servers::new(zone, seed),
             tenants: Tenants::new(seed ^ 2, bounds.quota_window.as_millis() as Millis),
             splits: Splits::default(),
-            room: Room::default(),
+            room: ConcurrencyLimits::default(),
             budget: Budget::new(bounds.retry_ratio, bounds.retry_slack, window),
             control,
             whole: false,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod aborts;
 pub mod budget;
 pub mod client_stream;
+pub mod concurrency_limits;
 pub mod connections;
 pub mod control;
 pub mod drain;
@@ -21,7 +22,6 @@
 pub mod pipeline;
 pub mod pool;
 pub mod request_state;
-pub mod room;
 pub mod run;
 pub mod servers;
 pub mod sessions;
