--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -8,7 +8,7 @@
 use crate::drain::Drain;
 use crate::gate::Pass;
 use crate::messages::{build_client_response, build_server_request, ResponseBody};
-use crate::pool::{names, AttemptResult, ServerResponse};
+use crate::pool::{header_names, AttemptResult, ServerResponse};
 use crate::request_state::{Next, Outcome, RequestState};
 use crate::servers::Sign;
 use crate::shared_state::SharedState;
@@ -127,7 +127,7 @@
         tried: Vec::new(),
         may_have_run: false,
     };
-    let attempt_id = parts.headers.get(names::ATTEMPT).map_or(&[][..], |id| id.as_bytes()).into();
+    let attempt_id = parts.headers.get(header_names::ATTEMPT_ID).map_or(&[][..], |id| id.as_bytes()).into();
     let forwarding = Forwarding {
         shared,
         parts,
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -4,7 +4,7 @@
 use crate::concurrency_limits::ConcurrencyLimits;
 use crate::control::{Change, Control};
 use crate::drain::Drain;
-use crate::pool::names;
+use crate::pool::header_names;
 use crate::servers::Servers;
 use crate::split::Splits;
 use crate::tenants::Tenants;
@@ -198,11 +198,12 @@
         } else {
             None
         };
-        let id = headers.get(names::ATTEMPT).is_some_and(|id| !id.is_empty());
+        let id = headers.get(header_names::ATTEMPT_ID).is_some_and(|id| !id.is_empty());
         if !id {
             return Err(ErrorKind::Malformed.into());
         }
-        let told = headers.get(names::DEADLINE).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
+        let told =
+            headers.get(header_names::DEADLINE).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
         let time = told.map_or(route.timeout, Duration::from_millis).min(route.timeout);
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let place = configuration.hosts[&host].iter().position(|r| r.prefix == route.prefix).unwrap_or(0);
--- a/crates/proxy/src/handler.rs
+++ b/crates/proxy/src/handler.rs
@@ -3,7 +3,7 @@
 use crate::forward::forward;
 use crate::gate::Pass;
 use crate::messages::ResponseBody;
-use crate::pool::names;
+use crate::pool::header_names;
 use crate::shared_state::SharedState;
 use bytes::Bytes;
 use granitelead_common::error_kinds::ErrorKind;
@@ -101,7 +101,7 @@
 /// Waits a limited time for the first configuration. It arrives soon after a start, so requests need not be
 /// rejected.
 async fn wait_for_configuration(shared: &SharedState, headers: &HeaderMap) {
-    let time_left = headers.get(names::DEADLINE).and_then(|value| value.to_str().ok()?.parse().ok());
+    let time_left = headers.get(header_names::DEADLINE).and_then(|value| value.to_str().ok()?.parse().ok());
     let wait = time_left
         .map_or(CONFIGURATION_WAIT_MAX, Duration::from_millis)
         .mul_f64(CONFIGURATION_WAIT_FRACTION)
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,7 +1,7 @@
 //! Conversion of requests and responses between clients and servers.
 
 use crate::gate::Pass;
-use crate::pool::{names, Body, ServerResponse};
+use crate::pool::{header_names, Body, ServerResponse};
 use crate::Millis;
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -66,18 +66,19 @@
     let connection_options = connection_options(&parts.headers);
     let headers = request.headers_mut();
     for (name, value) in &parts.headers {
-        let is_internal = [names::DEADLINE, names::EXPECTED, names::TENANT].contains(name);
+        let is_internal =
+            [header_names::DEADLINE, header_names::EXPECTED_INSTANCE, header_names::TENANT].contains(name);
         let is_api_key = *name == AUTHORIZATION && pass.configuration.requires_key;
         if !is_internal && !is_api_key && !is_hop_by_hop(name, &connection_options) {
             headers.append(name, value.clone());
         }
     }
-    headers.insert(names::DEADLINE, HeaderValue::from(time_left));
+    headers.insert(header_names::DEADLINE, HeaderValue::from(time_left));
     if let Ok(value) = HeaderValue::from_str(instance) {
-        headers.insert(names::EXPECTED, value);
+        headers.insert(header_names::EXPECTED_INSTANCE, value);
     }
     if let Some(value) = pass.tenant.as_ref().and_then(|name| HeaderValue::from_str(name).ok()) {
-        headers.insert(names::TENANT, value);
+        headers.insert(header_names::TENANT, value);
     }
     if has_body {
         headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -42,15 +42,15 @@
 const HEAD_MAX: usize = 32 << 10;
 
 /// Names of the headers of granitelead's own protocol.
-pub mod names {
+pub mod header_names {
     use hyper::header::HeaderName;
 
     /// Id of the client's attempt.
-    pub const ATTEMPT: HeaderName = HeaderName::from_static("x-granitelead-attempt-id");
+    pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("x-granitelead-attempt-id");
     /// Time left for the request, ms.
     pub const DEADLINE: HeaderName = HeaderName::from_static("x-granitelead-deadline-milliseconds");
     /// The only server instance that may execute the request.
-    pub const EXPECTED: HeaderName = HeaderName::from_static("x-granitelead-expected-instance");
+    pub const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("x-granitelead-expected-instance");
     /// The tenant that the API key belongs to.
     pub const TENANT: HeaderName = HeaderName::from_static("x-granitelead-tenant-name");
     /// Set by the server on its own responses.
@@ -301,7 +301,7 @@
 }
 
 fn identify(headers: &HeaderMap, id: &[u8]) -> ResponseId {
-    let mut ids = headers.get_all(names::ATTEMPT).iter();
+    let mut ids = headers.get_all(header_names::ATTEMPT_ID).iter();
     match (ids.next(), ids.next()) {
         (None, _) => ResponseId::Missing,
         (Some(value), None) if value.as_bytes() == id => ResponseId::Own,
@@ -327,7 +327,7 @@
 ) -> Option<(Outcome, Option<ServerResponse>, bool)> {
     let (parts, mut body) = response.into_parts();
     let status = parts.status.as_u16();
-    let not_executed = parts.headers.contains_key(names::NOT_EXECUTED);
+    let not_executed = parts.headers.contains_key(header_names::NOT_EXECUTED);
     // A server that rejects a request may omit the attempt id. Such a response is attributed to this request
     // only on a new connection: after an earlier exchange it may be a surplus response to that one, while
     // this request runs.
@@ -342,7 +342,7 @@
     if matches!(status, 408 | 429 | 503) && !not_executed {
         return None;
     }
-    let sealed = parts.headers.contains_key(names::SEAL);
+    let sealed = parts.headers.contains_key(header_names::SEAL);
     let success = (200..300).contains(&status);
     if (success && !sealed)
         || parts.headers.contains_key(CONTENT_ENCODING)
