--- a/crates/gatekeeper/src/clients/http_server.rs
+++ b/crates/gatekeeper/src/clients/http_server.rs
@@ -10,7 +10,7 @@
 use crate::timeouts;
 use bytes::Bytes;
 use granitelead_base::linger::Linger;
-use granitelead_base::{decimal, note, set_user_timeout, ACCEPT_PAUSE};
+use granitelead_base::{log_throttled, parse_positive_decimal, set_user_timeout, ACCEPT_PAUSE};
 use granitelead_decisions::settings::Names;
 use granitelead_decisions::{ClassId, CustomerId, Effect, PlanId};
 use hyper::body::{Body, Incoming};
@@ -350,7 +350,7 @@
                 Ok((stream, from)) => self.on_connection(stream, from.ip()),
                 // Out of file descriptors, or the client has already gone: neither may stop the gatekeeper.
                 Err(e) => {
-                    note(&self.accept_errors, format_args!("accept: {e}"));
+                    log_throttled(&self.accept_errors, format_args!("accept: {e}"));
                     self.evict_for_descriptors();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
@@ -620,7 +620,7 @@
         }
         let customer = customer(&head.headers)?;
         let (units, gatekeepers) = parse_call_terms(header(&head.headers, "x-call-terms")?, self.instances)?;
-        let client_timeout = decimal(header(&head.headers, "request-timeout")?);
+        let client_timeout = parse_positive_decimal(header(&head.headers, "request-timeout")?);
         let client_timeout = client_timeout.and_then(|s| Duration::try_from_secs_f64(s).ok());
         let client_timeout = client_timeout.ok_or(bad("bad Request-Timeout"))?;
         header(&head.headers, "request-id")?;
@@ -721,7 +721,7 @@
     let (mut units, mut spread) = (None, None);
     for term in text.split(',') {
         match term.trim().split_once('=') {
-            Some(("units", value)) => units = decimal(value),
+            Some(("units", value)) => units = parse_positive_decimal(value),
             Some(("spread", value)) => spread = value.parse().ok().filter(|n| (1..=instances).contains(n)),
             Some(("first", value)) if value.parse::<u32>().is_ok_and(|n| n < instances) => {}
             Some((name, _)) if name != "first" => {}
--- a/crates/gatekeeper/src/driver.rs
+++ b/crates/gatekeeper/src/driver.rs
@@ -12,7 +12,7 @@
     Action, AttemptDone, ClassId, CustomerId, Event, Gatekeeper, Handover, Micros, Outcome, PlanId,
 };
 use granitelead_decisions::{Request, RequestId, ServerId};
-use granitelead_list::follower::Listing;
+use granitelead_list::follower::ListStatus;
 use hyper::header::HeaderValue;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -107,7 +107,7 @@
     /// The connection to the counter.
     pub counter: Counter,
     /// The version and age of the server list.
-    pub listing: Rc<Listing>,
+    pub listing: Rc<ListStatus>,
     /// Counts of requests by result.
     pub telemetry: Rc<Telemetry>,
     /// The memory budget of buffered bodies.
@@ -131,7 +131,7 @@
         let buffer_budget = BufferBudget::new(config.held_max);
         Rc::new(Driver {
             servers: Servers::new(config, telemetry.calls(), buffer_budget.clone()),
-            listing: Listing::new(),
+            listing: ListStatus::new(),
             telemetry,
             buffer_budget,
             events: config.events,
