--- a/crates/gatekeeper/src/config.rs
+++ b/crates/gatekeeper/src/config.rs
@@ -1,4 +1,5 @@
-//! What the gatekeeper is told at its start: `RELAY_CONFIG` and the variables beside it, checked.
+//! Reads and validates the configuration: the file named by `RELAY_CONFIG` and the environment variables
+//! that override it.
 
 use crate::events::Events;
 use granitelead_decisions::settings::{flatten, settings, Fault, FieldError, Fields, Names};
@@ -12,84 +13,84 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Callers at the operators' door at once. One more makes the one that has been there the longest leave.
-pub const CALLERS_MAX: usize = 12;
+/// Maximum number of concurrent connections to the admin socket. A further one closes the oldest.
+pub const ADMIN_CONNECTIONS_MAX: usize = 12;
 
-/// Why a configuration is not taken. Its text names the field.
+/// Why a configuration is rejected. The message names the field.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The variable that says where the file is has no value.
+    /// The environment variable with the path of the file is not set.
     #[error("RELAY_CONFIG is not set")]
-    NoPath,
-    /// The file can't be read.
+    PathNotSet,
+    /// The file cannot be read.
     #[error("RELAY_CONFIG: {path}: {error}")]
-    Unread {
-        /// Where it should be.
+    Unreadable {
+        /// Path of the file.
         path: String,
-        /// Why not.
+        /// The I/O error.
         error: io::Error,
     },
-    /// It is not of the form of a configuration.
+    /// The file is not valid JSON or does not match the expected structure.
     #[error("configuration: {0}")]
-    Form(#[from] serde_json::Error),
-    /// A field of the settings.
+    Syntax(#[from] serde_json::Error),
+    /// A field below `settings` is invalid.
     #[error(transparent)]
     Settings(#[from] FieldError),
-    /// Another field.
+    /// A field outside `settings` is invalid.
     #[error("configuration: field `{field}`: {fault}")]
     Field {
-        /// Its path.
+        /// Path of the field.
         field: String,
-        /// What is wrong with it.
+        /// What is wrong with the field.
         fault: ConfigFault,
     },
 }
 
-/// What can be wrong with a field.
+/// What is wrong with the value of a field.
 #[derive(Debug, Error)]
 pub enum ConfigFault {
-    /// It is not there.
+    /// A required field is absent.
     #[error("missing")]
     Missing,
-    /// It is no limit.
-    #[error("{0} is no whole number above 0")]
-    NoCount(serde_json::Value),
-    /// A part that is larger than the whole.
-    #[error("{0} is more than the {1} there are")]
-    MoreThanAll(usize, usize),
-    /// Nothing can be served with it.
-    #[error("{0} is too few")]
-    TooFew(usize),
-    /// It is no size.
-    #[error("{0} is no amount")]
-    NoAmount(f64),
-    /// It is no truth value.
-    #[error("{0} is neither true nor false")]
-    NoFlag(serde_json::Value),
-    /// It is no seed.
-    #[error("`{0}` is not hexadecimal")]
+    /// A limit is not a positive integer.
+    #[error("{0} is not a positive integer")]
+    NotPositiveInteger(serde_json::Value),
+    /// A value exceeds the total that it is a part of.
+    #[error("{0} exceeds the {1} available")]
+    ExceedsTotal(usize, usize),
+    /// A limit is too low to serve any request.
+    #[error("{0} is too low")]
+    TooLow(usize),
+    /// A size is not a positive finite number.
+    #[error("{0} is not a positive number")]
+    NotPositiveNumber(f64),
+    /// A flag is not a boolean.
+    #[error("{0} is not a boolean")]
+    NotBoolean(serde_json::Value),
+    /// The seed is not a hexadecimal number.
+    #[error("`{0}` is not a 64-bit hexadecimal number")]
     NotHexadecimal(String),
-    /// It is nowhere to connect to.
-    #[error("`{0}` is not an address with a port")]
-    NoAddress(String),
-    /// A list that is too long.
+    /// An address cannot be parsed.
+    #[error("`{0}` is not an IP address with a port")]
+    InvalidAddress(String),
+    /// A list of addresses is too long.
     #[error("more than {0} addresses")]
     TooManyAddresses(usize),
-    /// A list that does not go with another figure.
+    /// The number of peer addresses differs from the number of gatekeepers.
     #[error("{0} addresses for {1} gatekeepers")]
-    NotOneEach(usize, usize),
-    /// A name that says nothing.
+    PeerCountMismatch(usize, usize),
+    /// A name is empty.
     #[error("empty")]
     Empty,
 }
 
 impl ConfigFault {
-    fn of(self, field: impl Into<String>) -> ConfigError {
+    fn at(self, field: impl Into<String>) -> ConfigError {
         ConfigError::Field { field: field.into(), fault: self }
     }
 }
 
-/// The configuration as it is written down.
+/// The configuration file before validation.
 #[derive(Deserialize)]
 struct File {
     listen: Option<String>,
@@ -114,11 +115,11 @@
     settings: serde_json::Value,
 }
 
-/// Whether gatekeepers tell each other who lives.
+/// Enables the membership protocol between gatekeepers.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FileMembership {
-    /// The fleet's name: those of another are not heard.
+    /// Name of the fleet; datagrams of other fleets are ignored.
     fleet: String,
 }
 
@@ -129,10 +130,10 @@
 }
 
 impl File {
-    /// A limit on connections; none where it is absent.
+    /// Returns a limit below `connections`, or `None` if it is absent.
     fn limit(&self, field: &str) -> Result<Option<usize>, ConfigError> {
         let bad = |value: &serde_json::Value| {
-            ConfigFault::NoCount(value.clone()).of(format!("connections.{field}"))
+            ConfigFault::NotPositiveInteger(value.clone()).at(format!("connections.{field}"))
         };
         let value = self.connections.get(field);
         let number = |value: &serde_json::Value| {
@@ -142,97 +143,99 @@
         value.map(number).transpose()
     }
 
-    /// The same, of which there is only so much.
-    fn limit_of(&self, field: &str, all: usize) -> Result<Option<usize>, ConfigError> {
+    /// Like [`File::limit`], and checks that the limit does not exceed `all`.
+    fn limit_up_to(&self, field: &str, all: usize) -> Result<Option<usize>, ConfigError> {
         match self.limit(field)? {
-            Some(n) if n > all => Err(ConfigFault::MoreThanAll(n, all).of(format!("connections.{field}"))),
+            Some(n) if n > all => Err(ConfigFault::ExceedsTotal(n, all).at(format!("connections.{field}"))),
             limit => Ok(limit),
         }
     }
 
     fn load(variable: &impl Fn(&str) -> Option<String>) -> Result<File, ConfigError> {
-        let path = variable("RELAY_CONFIG").ok_or(ConfigError::NoPath)?;
-        let text = std::fs::read_to_string(&path).map_err(|error| ConfigError::Unread { path, error })?;
+        let path = variable("RELAY_CONFIG").ok_or(ConfigError::PathNotSet)?;
+        let text = std::fs::read_to_string(&path).map_err(|error| ConfigError::Unreadable { path, error })?;
         Ok(serde_json::from_str(&text)?)
     }
 }
 
-/// The other gatekeepers, where they are told who lives.
+/// Settings of the membership protocol between gatekeepers.
 pub struct PeersConfig {
-    /// Where their datagrams come in.
+    /// Local address on which datagrams are received.
     pub listen: SocketAddr,
-    /// Where each is reached and heard from, by number; this one's own is among them.
+    /// Address of each gatekeeper by number, including this one's own.
     pub places: Vec<SocketAddr>,
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: String,
-    /// This one's number.
+    /// Number of this gatekeeper.
     pub me: u16,
 }
 
-/// The configuration, checked.
+/// The validated configuration.
 pub struct Config {
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where the list of servers comes from: the first address, and others with the same list.
+    /// Addresses of the discovery service: the first one and further ones that serve the same list.
     pub discovery: Vec<SocketAddr>,
-    /// The least time after which another of these is asked for its version, where it is not the usual.
+    /// Minimum interval between version comparisons with another of these addresses; `None` for the default.
     pub discovery_compare: Option<Duration>,
-    /// The counter, where there is one.
+    /// Address of the counter service, if any.
     pub counter: Option<SocketAddr>,
-    /// Where operators call; without it there is no door for them.
+    /// Address of the admin socket; `None` disables it.
     pub admin: Option<SocketAddr>,
-    /// Says what becomes of its own state; nothing unless asked to.
+    /// Writes state changes of this gatekeeper to standard output, if enabled.
     pub events: Events,
-    /// The other gatekeepers, unless this one keeps to itself.
+    /// Settings of the membership protocol; `None` if it is disabled.
     pub peers: Option<PeersConfig>,
-    /// For random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// The servers as this gatekeeper last had them; may be old.
+    /// The server list that this gatekeeper last had; may be out of date.
     pub known: HostList,
-    /// What the decisions go by.
+    /// Settings of the decision logic.
     pub settings: Settings,
-    /// The names of classes and plans.
+    /// Names of the classes and plans.
     pub names: Names,
-    /// Most connections of clients, waiting or not, and most to servers: parts of the limit on descriptors.
+    /// Maximum number of client connections, idle or not. Together with `servers_max` it fits the limit on
+    /// descriptors.
     pub clients_max: usize,
-    /// See `clients_max`.
+    /// Maximum number of connections to servers. See `clients_max`.
     pub servers_max: usize,
-    /// Most connections of one source of clients, and most heads being read.
+    /// Maximum number of client connections from one source address.
     pub per_source_max: usize,
-    /// See `per_source_max`.
+    /// Maximum number of request heads that are read at the same time.
     pub heads_max: usize,
-    /// Most connections to one server.
+    /// Maximum number of connections to one server.
     pub per_server_max: usize,
-    /// The greatest age of a client's connection, if there is one.
+    /// Maximum age of a client connection, if limited.
     pub max_age: Option<Duration>,
-    /// Whether a client that ends its side after a request still waits for the answer.
+    /// Whether a client that half-closes its connection after a request still gets the response.
     pub half_close: bool,
-    /// Bytes of bodies that may be held, for all requests together: a part of the limit on memory.
+    /// Buffer budget for the bodies of all requests, in bytes: a part of the limit on memory.
     pub held_max: usize,
-    /// Where the list of servers has to be asked for, it counts as told after so long all the same.
+    /// How long to wait for the server list where it has to be polled; after that the fetch counts as
+    /// complete.
     pub ask_within: Duration,
-    /// A connection to a server not established by then never is.
+    /// Timeout for establishing a connection to a server.
     pub connect_timeout: Duration,
-    /// A server closes a connection that has been idle for so long.
+    /// Idle time after which a server closes a connection.
     pub server_idle: Duration,
 }
 
-/// Descriptors kept back: listeners, counter, discovery, runtime, standard streams, each one's successor, and
-/// the operators' calls.
-const SPARE_SOCKETS: usize = 20 + CALLERS_MAX;
+/// Descriptors reserved for listeners, counter, discovery, runtime and standard streams, for a replacement of
+/// each during reconnects and upgrades, and for admin connections.
+const RESERVED_SOCKETS: usize = 20 + ADMIN_CONNECTIONS_MAX;
 
-/// The time to ask for the list where the rules name none.
-const ASK_WITHIN: Micros = 10_000_000;
+/// Default of `rules.askWithinUs`, in microseconds.
+const DEFAULT_ASK_WITHIN: Micros = 10_000_000;
 
 impl Config {
-    /// Reads the file that `RELAY_CONFIG` names. The message of an error names the field.
+    /// Reads and validates the file that `RELAY_CONFIG` names. The message of an error names the field.
     pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         Config::check(File::load(&variable)?, variable)
     }
 
-    /// Reads the file again for the addresses that may move while the gatekeeper runs: discovery and counter.
-    /// The file goes before the variable, which is as old as the process.
-    pub fn moved(
+    /// Rereads the addresses that may change while the gatekeeper runs: discovery and counter. Unlike at
+    /// startup the file takes precedence over the environment, which dates from the start of the process.
+    pub fn reload_addresses(
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<(Vec<SocketAddr>, Option<SocketAddr>), ConfigError> {
         let file = File::load(&variable)?;
@@ -240,7 +243,7 @@
         Ok((discovery(first, file.discovery_more)?, counter(file.counter)?))
     }
 
-    /// The longest that a client of any class waits.
+    /// Returns the longest request deadline of all classes.
     pub fn longest_deadline(&self) -> Duration {
         let longest = self.settings.classes.iter().map(|class| class.deadline).max();
         Duration::from_micros(longest.unwrap_or(0))
@@ -251,7 +254,7 @@
         flatten("", &file.settings, &mut pairs);
         let fields = Fields::from_pairs("settings", &pairs);
         let (mut settings, names) = settings(&fields)?;
-        // Any client on a socket can be told when to come back, whether or not it is known to listen.
+        // Every HTTP client can be sent Retry-After, whether or not it is known to honor it.
         let advice = fields.span_or_zero("limits.maxRetryAfterUs")?;
         settings.limits.max_retry_after = settings.limits.max_retry_after.max(advice);
         for (field, names) in [("services", &names.classes), ("tiersOfService", &names.plans)] {
@@ -264,12 +267,12 @@
         };
         let ask_within = fields.span_or_zero("rules.askWithinUs")?;
         let sockets = file.limits.sockets;
-        if sockets < 2 * SPARE_SOCKETS {
-            return Err(ConfigFault::TooFew(sockets).of("limits.sockets"));
+        if sockets < 2 * RESERVED_SOCKETS {
+            return Err(ConfigFault::TooLow(sockets).at("limits.sockets"));
         }
         let memory = file.limits.memory_mb;
         if !(memory.is_finite() && memory > 0.0) {
-            return Err(ConfigFault::NoAmount(memory).of("limits.memory_mb"));
+            return Err(ConfigFault::NotPositiveNumber(memory).at("limits.memory_mb"));
         }
         let peers = match file.membership.take() {
             Some(membership) => {
@@ -277,24 +280,24 @@
             }
             None => None,
         };
-        let share = sockets - SPARE_SOCKETS;
+        let available = sockets - RESERVED_SOCKETS;
         let memory = (memory * f64::from(1 << 20)) as usize;
-        let held_max = file.limit_of("held_mb", memory >> 20)?.map_or(memory / 4, |mb| mb << 20);
-        let servers_max = file.limit_of("servers", share - 1)?;
-        let left = share - servers_max.unwrap_or(share / 3).min(share - 1);
-        let clients_max = file.limit_of("clients", left)?.unwrap_or(left.min(share * 2 / 3));
-        let servers_max = servers_max.unwrap_or(share / 3);
+        let held_max = file.limit_up_to("held_mb", memory >> 20)?.map_or(memory / 4, |mb| mb << 20);
+        let servers_max = file.limit_up_to("servers", available - 1)?;
+        let left = available - servers_max.unwrap_or(available / 3).min(available - 1);
+        let clients_max = file.limit_up_to("clients", left)?.unwrap_or(left.min(available * 2 / 3));
+        let servers_max = servers_max.unwrap_or(available / 3);
         let half_close = match file.connections.get("half_close") {
             None => false,
             Some(value) => {
-                let bad = || ConfigFault::NoFlag(value.clone()).of("connections.half_close");
+                let bad = || ConfigFault::NotBoolean(value.clone()).at("connections.half_close");
                 value.as_bool().ok_or_else(bad)?
             }
         };
         Ok(Config {
-            per_source_max: file.limit_of("per_source", clients_max)?.unwrap_or(clients_max),
-            heads_max: file.limit_of("heads", clients_max)?.unwrap_or(clients_max),
-            per_server_max: file.limit_of("per_server", servers_max)?.unwrap_or(servers_max),
+            per_source_max: file.limit_up_to("per_source", clients_max)?.unwrap_or(clients_max),
+            heads_max: file.limit_up_to("heads", clients_max)?.unwrap_or(clients_max),
+            per_server_max: file.limit_up_to("per_server", servers_max)?.unwrap_or(servers_max),
             max_age: file.limit("max_age_ms")?.map(|ms| Duration::from_millis(ms as u64)),
             half_close,
             listen: address("listen", variable("RELAY_LISTEN").or(file.listen))?,
@@ -305,9 +308,9 @@
             events: Events::new(file.events),
             peers,
             seed: u64::from_str_radix(&file.seed, 16)
-                .map_err(|_| ConfigFault::NotHexadecimal(file.seed.clone()).of("seed"))?,
+                .map_err(|_| ConfigFault::NotHexadecimal(file.seed.clone()).at("seed"))?,
             known: file.known,
-            ask_within: Duration::from_micros(if ask_within > 0 { ask_within } else { ASK_WITHIN }),
+            ask_within: Duration::from_micros(if ask_within > 0 { ask_within } else { DEFAULT_ASK_WITHIN }),
             connect_timeout: span("limits.connectTimeoutUs")?,
             server_idle: span("limits.connIdleUs")?,
             settings,
@@ -319,19 +322,19 @@
     }
 }
 
-/// All addresses of the list, each once.
+/// Parses the addresses of the discovery service and removes duplicates.
 fn discovery(first: Option<String>, more: Vec<String>) -> Result<Vec<SocketAddr>, ConfigError> {
     if more.len() > FURTHER_MAX {
-        return Err(ConfigFault::TooManyAddresses(FURTHER_MAX).of("discovery_more"));
+        return Err(ConfigFault::TooManyAddresses(FURTHER_MAX).at("discovery_more"));
     }
-    let mut places = vec![address("discovery", first)?];
+    let mut addresses = vec![address("discovery", first)?];
     for at in more {
-        let place = address("discovery_more", Some(at))?;
-        if !places.contains(&place) {
-            places.push(place);
+        let parsed = address("discovery_more", Some(at))?;
+        if !addresses.contains(&parsed) {
+            addresses.push(parsed);
         }
     }
-    Ok(places)
+    Ok(addresses)
 }
 
 fn peers(
@@ -342,14 +345,14 @@
 ) -> Result<PeersConfig, ConfigError> {
     let instances = settings.instances as usize;
     if places.len() != instances {
-        return Err(ConfigFault::NotOneEach(places.len(), instances).of("peers"));
+        return Err(ConfigFault::PeerCountMismatch(places.len(), instances).at("peers"));
     }
-    // Numbers are two bytes among gatekeepers.
+    // The membership protocol encodes gatekeeper numbers in two bytes.
     let me = u16::try_from(settings.me).ok().filter(|me| usize::from(*me) < places.len());
     let me =
-        me.ok_or_else(|| ConfigFault::MoreThanAll(settings.me as usize, places.len()).of("settings.me"))?;
+        me.ok_or_else(|| ConfigFault::ExceedsTotal(settings.me as usize, places.len()).at("settings.me"))?;
     if membership.fleet.is_empty() {
-        return Err(ConfigFault::Empty.of("membership.fleet"));
+        return Err(ConfigFault::Empty.at("membership.fleet"));
     }
     let listen = address("peer_listen", listen)?;
     let places = places.into_iter().map(|at| address("peers", Some(at))).collect::<Result<_, _>>()?;
@@ -365,6 +368,6 @@
 }
 
 fn address(field: &str, value: Option<String>) -> Result<SocketAddr, ConfigError> {
-    let value = value.ok_or_else(|| ConfigFault::Missing.of(field))?;
-    value.parse().map_err(|_| ConfigFault::NoAddress(value).of(field))
+    let value = value.ok_or_else(|| ConfigFault::Missing.at(field))?;
+    value.parse().map_err(|_| ConfigFault::InvalidAddress(value).at(field))
 }
--- a/crates/gatekeeper/src/counter.rs
+++ b/crates/gatekeeper/src/counter.rs
@@ -1,4 +1,4 @@
-//! The connection to the counter: calls written one behind another, answers taken in their order.
+//! Client of the counter service: pipelined calls over one connection; replies are matched to calls in order.
 
 use bytes::BytesMut;
 use granitelead_base::{note, Backoff};
@@ -15,133 +15,147 @@
 use tokio::sync::watch;
 use tokio::time::{timeout, Duration, Instant};
 
-/// Time to connect; a machine that is cut off never answers.
-const CONNECT: Duration = Duration::from_millis(500);
-/// An answer later than so many time-outs of a call, but no less than `SILENT_LEAST`, means that the
-/// connection leads nowhere: until it is given up every call goes unanswered.
-const SILENT_WAITS: u32 = 4;
-/// See `SILENT_WAITS`.
-const SILENT_LEAST: Duration = Duration::from_millis(100);
-/// Pause after which an idle connection is asked for a sign of life, well before the counter would close it.
-const LISTEN: Duration = Duration::from_secs(1);
-/// The longest answer, bytes: a number or a line.
-const ANSWER_MAX: usize = 4096;
-/// Answers owed at most; past that the connection is given up.
-const OWED_MAX: usize = 4096;
+/// Connect timeout; an unreachable host may never answer.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// A connection is dropped when a reply is overdue by this many call timeouts, but at least
+/// `STALL_TIMEOUT_MIN`: until a dead connection is dropped, every call on it times out.
+const STALL_CALL_TIMEOUTS: u32 = 4;
+/// See `STALL_CALL_TIMEOUTS`.
+const STALL_TIMEOUT_MIN: Duration = Duration::from_millis(100);
+/// Idle time after which a ping is sent, well before the counter would close the connection.
+const PING_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum size of a reply (a number or an error line), in bytes.
+const REPLY_MAX: usize = 4096;
+/// Maximum number of outstanding replies; the connection is dropped when it is exceeded.
+const PENDING_MAX: usize = 4096;
 
-/// An answer that the counter owes.
-struct Owed {
+/// A call whose reply is outstanding.
+struct PendingCall {
     seq: u64,
-    /// Whose it is; none for a ping, or once our own time-out has ended the call.
+    /// The counter name of the call; `None` for a ping, and after the call has timed out.
     name: Option<CounterName>,
     since: Instant,
 }
 
-/// Who makes the calls and hears how they end.
+/// Makes calls and receives their outcomes.
 pub trait Caller: 'static {
-    /// The counter that it calls.
+    /// Returns the counter client.
     fn counter(&self) -> &Counter;
-    /// A call has ended.
+    /// Handles the outcome of a call.
     fn hear(self: &Rc<Self>, event: Event);
 }
 
-/// The counter, as one connection to it.
+/// Client of the counter service with a single connection.
 pub struct Counter {
-    at: watch::Sender<Option<SocketAddr>>,
-    wait: Duration,
-    silent: Duration,
+    address: watch::Sender<Option<SocketAddr>>,
+    call_timeout: Duration,
+    stall_timeout: Duration,
     conn: RefCell<Option<OwnedWriteHalf>>,
-    owed: RefCell<VecDeque<Owed>>,
-    next: Cell<u64>,
-    odd: Cell<u64>,
+    pending: RefCell<VecDeque<PendingCall>>,
+    last_seq: Cell<u64>,
+    event_count: Cell<u64>,
     seed: u64,
 }
 
 impl Counter {
-    /// Not connected yet; `wait` is how long a call may take, `seed` draws the waits between tries to
-    /// connect.
+    /// Creates a client that is not connected yet. `wait` is the timeout of a call; `seed` seeds the backoff
+    /// between connection attempts.
     pub fn new(at: Option<SocketAddr>, wait: Micros, seed: u64) -> Self {
-        let (conn, owed) = (RefCell::default(), RefCell::default());
-        let wait = Duration::from_micros(wait);
-        let silent = (wait * SILENT_WAITS).max(SILENT_LEAST);
-        let at = watch::Sender::new(at);
-        Counter { at, wait, silent, conn, owed, next: Cell::new(0), odd: Cell::new(0), seed }
+        let (conn, pending) = (RefCell::default(), RefCell::default());
+        let call_timeout = Duration::from_micros(wait);
+        let stall_timeout = (call_timeout * STALL_CALL_TIMEOUTS).max(STALL_TIMEOUT_MIN);
+        let address = watch::Sender::new(at);
+        Counter {
+            address,
+            call_timeout,
+            stall_timeout,
+            conn,
+            pending,
+            last_seq: Cell::new(0),
+            event_count: Cell::new(0),
+            seed,
+        }
     }
 
-    /// Adds to a number. The answer, exactly one, comes as an event.
+    /// Adds `amount` to a counter that expires after `keep`. Exactly one event reports the outcome.
     pub fn call(&self, caller: &Rc<impl Caller>, name: CounterName, amount: f64, keep: Micros) {
         let keep = keep.div_ceil(1_000).max(1).to_string();
         if !self.write(&["CNT.ADD", &name.0, &amount.to_string(), &keep], Some(name.clone())) {
             return caller.hear(Event::Counter { name, outcome: CounterOutcome::Refused });
         }
-        let (caller, seq, wait) = (caller.clone(), self.next.get(), self.wait);
+        let (caller, seq, call_timeout) = (caller.clone(), self.last_seq.get(), self.call_timeout);
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(wait).await;
+            tokio::time::sleep(call_timeout).await;
             caller.counter().expire(&caller, seq);
         });
     }
 
-    /// Ends a call whose answer has not come. The answer is still owed and will be dropped: taking it for the
-    /// next call's would shift every total to a wrong name.
+    /// Times out a call without a reply. The call stays in the queue so that its late reply is discarded:
+    /// matching that reply to the next call would assign every later total to a wrong name.
     fn expire(&self, caller: &Rc<impl Caller>, seq: u64) {
-        let name = self.owed.borrow_mut().iter_mut().find(|owed| owed.seq == seq).and_then(|o| o.name.take());
+        let name = self
+            .pending
+            .borrow_mut()
+            .iter_mut()
+            .find(|call| call.seq == seq)
+            .and_then(|call| call.name.take());
         if let Some(name) = name {
             caller.hear(Event::Counter { name, outcome: CounterOutcome::Timeout });
         }
     }
 
-    /// Writes a call whole, or not at all as far as the counter can tell. A full or broken connection is
-    /// given up: its last call has not come whole, so that nothing was added by it.
-    fn write(&self, words: &[&str], name: Option<CounterName>) -> bool {
-        let mut call = format!("*{}\r\n", words.len());
-        for word in words {
-            call.push_str(&format!("${}\r\n{word}\r\n", word.len()));
+    /// Writes a call completely, or drops the connection if it is full or broken. A truncated call is not
+    /// executed by the counter, so nothing has been added in that case.
+    fn write(&self, arguments: &[&str], name: Option<CounterName>) -> bool {
+        let mut call = format!("*{}\r\n", arguments.len());
+        for argument in arguments {
+            call.push_str(&format!("${}\r\n{argument}\r\n", argument.len()));
         }
         let mut conn = self.conn.borrow_mut();
         let Some(half) = conn.as_ref() else { return false };
-        let room = self.owed.borrow().len() < OWED_MAX;
-        if !room || !matches!(half.try_write(call.as_bytes()), Ok(n) if n == call.len()) {
+        let has_capacity = self.pending.borrow().len() < PENDING_MAX;
+        if !has_capacity || !matches!(half.try_write(call.as_bytes()), Ok(n) if n == call.len()) {
             *conn = None;
             return false;
         }
-        self.next.set(self.next.get() + 1);
-        let owed = Owed { seq: self.next.get(), name, since: Instant::now() };
-        self.owed.borrow_mut().push_back(owed);
+        self.last_seq.set(self.last_seq.get() + 1);
+        let pending_call = PendingCall { seq: self.last_seq.get(), name, since: Instant::now() };
+        self.pending.borrow_mut().push_back(pending_call);
         true
     }
 
-    /// Says where the counter is from now on.
-    pub fn move_to(&self, at: Option<SocketAddr>) {
-        self.at.send_if_modified(|known| std::mem::replace(known, at) != at);
+    /// Changes the address of the counter; `None` disables it.
+    pub fn set_address(&self, at: Option<SocketAddr>) {
+        self.address.send_if_modified(|current| std::mem::replace(current, at) != at);
     }
 
-    /// Keeps a connection to wherever the counter is, for ever.
+    /// Keeps a connection to the current address of the counter; never returns.
     pub async fn run(&self, caller: Rc<impl Caller>) {
-        let mut place = self.at.subscribe();
+        let mut address = self.address.subscribe();
         loop {
-            let at = *place.borrow_and_update();
+            let at = *address.borrow_and_update();
             tokio::select! {
-                () = self.keep(&caller, at) => {}
-                _ = place.changed() => self.hang_up(&caller),
+                () = self.stay_connected(&caller, at) => {}
+                _ = address.changed() => self.disconnect(&caller),
             }
         }
     }
 
-    /// The counter closes a connection that is idle; that is no failure. One that has served is replaced at
-    /// once, one that has not after a pause.
-    async fn keep(&self, caller: &Rc<impl Caller>, at: Option<SocketAddr>) {
+    /// Reconnects whenever the connection ends. The counter closes idle connections, which is not a failure:
+    /// a connection that has delivered a reply is replaced at once, any other after a backoff.
+    async fn stay_connected(&self, caller: &Rc<impl Caller>, at: Option<SocketAddr>) {
         let Some(at) = at else { return std::future::pending().await };
         let mut backoff = Backoff::new(self.seed);
         loop {
             let mut served = false;
-            if let Ok(Ok(stream)) = timeout(CONNECT, TcpStream::connect(at)).await {
+            if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(at)).await {
                 let _ = stream.set_nodelay(true);
                 let (reader, writer) = stream.into_split();
                 *self.conn.borrow_mut() = Some(writer);
                 if let Err(what) = self.read(caller, reader, &mut served).await {
-                    note(&self.odd, format_args!("counter: {what}"));
+                    note(&self.event_count, format_args!("counter: {what}"));
                 }
-                self.hang_up(caller);
+                self.disconnect(caller);
             }
             if served {
                 backoff.reset();
@@ -151,17 +165,16 @@
         }
     }
 
-    /// What was written and not answered may have been added.
-    fn hang_up(&self, caller: &Rc<impl Caller>) {
+    /// Closes the connection and times out all outstanding calls, which the counter may have executed.
+    fn disconnect(&self, caller: &Rc<impl Caller>) {
         *self.conn.borrow_mut() = None;
-        let owed = std::mem::take(&mut *self.owed.borrow_mut());
-        for name in owed.into_iter().filter_map(|owed| owed.name) {
+        let pending = std::mem::take(&mut *self.pending.borrow_mut());
+        for name in pending.into_iter().filter_map(|call| call.name) {
             caller.hear(Event::Counter { name, outcome: CounterOutcome::Timeout });
         }
     }
 
-    /// Reads answers until the connection ends or is of no further use; `served` tells whether a proper one
-    /// came.
+    /// Reads replies until the connection ends or fails. Sets `served` once a valid reply has arrived.
     async fn read(
         &self,
         caller: &Rc<impl Caller>,
@@ -169,50 +182,50 @@
         served: &mut bool,
     ) -> Result<(), &'static str> {
         let mut buffer = BytesMut::new();
-        let mut heard = Instant::now();
+        let mut last_read = Instant::now();
         loop {
-            let read = timeout(self.silent, from.read_buf(&mut buffer)).await;
+            let read = timeout(self.stall_timeout, from.read_buf(&mut buffer)).await;
             if self.conn.borrow().is_none() {
-                return Err("could not be written to");
+                return Err("write failed");
             }
             match read {
-                // A connection that idles is closed by the counter; that and a reset end it alike.
+                // The counter closes idle connections; a reset is treated in the same way.
                 Ok(Ok(0) | Err(_)) => return Ok(()),
-                Ok(Ok(_)) => heard = Instant::now(),
+                Ok(Ok(_)) => last_read = Instant::now(),
                 Err(_) => {}
             }
-            while let Some((frame, ..)) = decode_bytes_mut(&mut buffer).map_err(|_| "no proper answer")? {
-                let owed = self.owed.borrow_mut().pop_front().ok_or("an answer to no call")?;
+            while let Some((frame, ..)) = decode_bytes_mut(&mut buffer).map_err(|_| "malformed reply")? {
+                let answered = self.pending.borrow_mut().pop_front().ok_or("reply without a call")?;
                 let outcome = outcome(&frame);
-                let pong = owed.name.is_none() && matches!(frame, BytesFrame::SimpleString(_));
-                let proper = outcome.is_some() || pong;
-                if !proper {
-                    // Nothing more may be asked on a connection that the counter has lost its place on.
+                let pong = answered.name.is_none() && matches!(frame, BytesFrame::SimpleString(_));
+                let valid = outcome.is_some() || pong;
+                if !valid {
+                    // Replies can no longer be matched to calls on this connection.
                     *self.conn.borrow_mut() = None;
                 }
-                if let Some(name) = owed.name {
+                if let Some(name) = answered.name {
                     let outcome = outcome.unwrap_or(CounterOutcome::Timeout);
                     caller.hear(Event::Counter { name, outcome });
                 }
-                if !proper {
-                    return Err("an answer that is no total");
+                if !valid {
+                    return Err("reply is not a total");
                 }
                 *served = true;
             }
-            if buffer.len() > ANSWER_MAX {
-                return Err("an answer too long");
+            if buffer.len() > REPLY_MAX {
+                return Err("reply too long");
             }
-            let oldest = self.owed.borrow().front().map(|owed| owed.since);
+            let oldest = self.pending.borrow().front().map(|call| call.since);
             match oldest {
-                Some(since) if since.elapsed() >= self.silent => return Err("fell silent"),
-                None if heard.elapsed() >= LISTEN => drop(self.write(&["PING"], None)),
+                Some(since) if since.elapsed() >= self.stall_timeout => return Err("no reply in time"),
+                None if last_read.elapsed() >= PING_INTERVAL => drop(self.write(&["PING"], None)),
                 _ => {}
             }
         }
     }
 }
 
-/// What an answer says of a call; none where it is neither a total nor an error.
+/// Converts a reply to the outcome of a call; `None` if it is neither a total nor an error.
 fn outcome(frame: &BytesFrame) -> Option<CounterOutcome> {
     match frame {
         BytesFrame::Error(_) => Some(CounterOutcome::Refused),
--- a/crates/gatekeeper/src/events.rs
+++ b/crates/gatekeeper/src/events.rs
@@ -1,63 +1,65 @@
-//! What a gatekeeper says of its own state: a line of JSON an event on standard output, where the configuration has
-//! `"events": true`. For trials that judge by histories; nothing is written where it is absent.
+//! Writes state changes of this gatekeeper as JSON lines to standard output if the configuration has
+//! `"events": true`. Test runs that check event histories use them.
 
 use serde::Serialize;
 use std::io::Write;
 
-/// What it says.
+/// A state change of this gatekeeper.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Own<'a> {
-    /// It has a list to serve by.
+    /// The first server list of discovery has been applied.
     Ready,
-    /// It goes by that version of the list from now on.
+    /// A version of the server list has been applied.
     List {
-        /// The version.
+        /// Version of the list.
         rev: u64,
-        /// Which line of versions it is of; 0 where that was not told.
+        /// Epoch of the version; 0 if discovery sent none.
         epoch: u64,
     },
-    /// A server is left out by hand, or put back.
-    ByHand {
-        /// Its name.
+    /// Operators have excluded a server, or included it again.
+    #[serde(rename = "by_hand")]
+    Exclusion {
+        /// The server's `uid`.
         server: &'a str,
-        /// Whether it is out.
-        out: bool,
+        /// Whether it is excluded.
+        #[serde(rename = "out")]
+        excluded: bool,
     },
-    /// Clients are sent away.
+    /// Draining of client connections has started.
     Evacuates,
-    /// They are not any more.
+    /// Draining of client connections has ended.
     Activates,
-    /// Another gatekeeper has come to be alive, or dead, as far as this one knows.
+    /// This gatekeeper's view of another one has changed.
     Member {
-        /// Its number.
+        /// Number of the other gatekeeper.
         gatekeeper: u16,
-        /// Which.
+        /// Whether it is considered alive.
         alive: bool,
     },
-    /// It was told to stop.
+    /// Shutdown has started.
     Stops,
 }
 
-/// Says such things, or nothing.
+/// Writes events if enabled.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Events {
-    on: bool,
+    enabled: bool,
 }
 
 impl Events {
-    /// Off unless `on`.
+    /// Creates a writer that does nothing unless `on`.
     pub fn new(on: bool) -> Events {
-        Events { on }
+        Events { enabled: on }
     }
 
-    /// Something has come about.
+    /// Writes an event.
     pub fn says(self, what: &Own) {
-        if !self.on {
+        if !self.enabled {
             return;
         }
         if let Ok(line) = serde_json::to_string(what) {
-            // Whoever asked for it and does not read it goes without.
+            // Write errors are ignored: a closed standard output must not stop the gatekeeper.
             let _ = writeln!(std::io::stdout().lock(), "{line}");
         }
     }
@@ -68,10 +70,10 @@
     use super::*;
 
     #[test]
-    fn an_event_is_a_line_that_names_itself() {
+    fn an_event_is_serialized_with_its_name() {
         let line = |what: &Own| serde_json::to_string(what).unwrap();
         assert_eq!(line(&Own::List { rev: 7, epoch: 2 }), r#"{"event":"list","rev":7,"epoch":2}"#);
-        let out = Own::ByHand { server: "s-1", out: true };
-        assert_eq!(line(&out), r#"{"event":"by_hand","server":"s-1","out":true}"#);
+        let exclusion = Own::Exclusion { server: "s-1", excluded: true };
+        assert_eq!(line(&exclusion), r#"{"event":"by_hand","server":"s-1","out":true}"#);
     }
 }
--- a/crates/gatekeeper/src/lifecycle/handover.rs
+++ b/crates/gatekeeper/src/lifecycle/handover.rs
@@ -1,10 +1,10 @@
-//! An upgrade: the new process of this gatekeeper finds the old one by a Unix socket, is passed its listening
-//! socket and what it knows, and takes its place.
+//! Zero-downtime upgrade: the new process of this gatekeeper connects to the old one over a Unix socket,
+//! receives its listening socket and its state, and replaces it.
 
 use crate::clients::side::ClientSide;
 use crate::driver::Driver;
-use crate::list::Book;
-use crate::operators::by_hand::ByHand;
+use crate::list::ServerIds;
+use crate::operators::exclusions::Exclusions;
 use granitelead_base::note;
 use granitelead_decisions::{Handover, ServerId};
 use rustix::net::{
@@ -26,67 +26,70 @@
 
 /// The socket's name in `$TMPDIR`.
 const SOCKET: &str = "hingestage.sock";
-/// Said with the descriptor; another version may say something else.
+/// Sent with the descriptor; identifies the version of the handover protocol.
 const GREETING: &[u8] = b"hingestage-handover-1\n";
-/// Time for the old process to greet, and again to say what it knows.
-const ANSWER: Duration = Duration::from_secs(1);
-/// Time for a new process to become ready.
-const BECOME_READY: Duration = Duration::from_secs(60);
-/// How often the old process tells how many descriptors it holds.
-const TELL: Duration = Duration::from_millis(100);
-/// The longest line, bytes.
+/// Timeout for the greeting of the old process, and again for its state.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout for a new process to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// How often the old process reports its connection counts.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum length of a message line, in bytes.
 const LINE_MAX: u64 = 16 << 20;
-/// The longest queue of connections that wait to be taken.
+/// Backlog of the listening socket.
 const BACKLOG: u32 = 1024;
-/// Descriptors that the second process needs beside its clients and servers.
-const BESIDE: usize = 16;
+/// Descriptors that a second process needs in addition to its client and server connections.
+const RESERVED_DESCRIPTORS: usize = 16;
 
-/// What the old process knows.
+/// State that the old process passes to the new one.
 #[derive(Serialize, Deserialize)]
-struct Knowledge {
+struct TransferredState {
     names: Vec<(String, ServerId)>,
     evacuates: bool,
     handover: Handover,
 }
 
-/// What the old process holds.
+/// Connections that the old process still has open.
 #[derive(Serialize, Deserialize)]
-struct Held {
+struct OpenConnections {
     clients: usize,
     #[serde(rename = "workers")]
     servers: usize,
 }
 
-/// Where the processes of this gatekeeper meet, in the folder that they share.
-pub fn meeting_place(folder: &Path) -> PathBuf {
-    folder.join(SOCKET)
+/// Returns the path of the handover socket in the directory that the processes of this gatekeeper share.
+pub fn handover_socket(directory: &Path) -> PathBuf {
+    directory.join(SOCKET)
 }
 
-/// The old process, as the new one sees it.
+/// The new process's connection to the old one.
 pub struct Predecessor {
     read: BufReader<OwnedReadHalf>,
     write: OwnedWriteHalf,
 }
 
-/// The clients' listening socket: from the process before, where there is one, or bound anew.
-pub async fn listen(at: SocketAddr, place: Option<&Path>) -> io::Result<(TcpListener, Option<Predecessor>)> {
-    let asked = async { ask(at, place.ok_or(io::ErrorKind::NotFound)?).await };
-    match timeout(ANSWER, asked).await {
+/// Takes the listening socket for clients over from the old process, or binds it if there is none.
+pub async fn listen(
+    at: SocketAddr,
+    socket_path: Option<&Path>,
+) -> io::Result<(TcpListener, Option<Predecessor>)> {
+    let requested = async { request_listener(at, socket_path.ok_or(io::ErrorKind::NotFound)?).await };
+    match timeout(REPLY_TIMEOUT, requested).await {
         Ok(Ok((listener, predecessor))) => return Ok((listener, Some(predecessor))),
         Ok(Err(e)) if e.kind() == io::ErrorKind::NotFound => {}
-        Ok(Err(e)) => eprintln!("granitelead: nobody hands over: {e}"),
-        Err(_) => eprintln!("granitelead: nobody hands over: no answer in time"),
+        Ok(Err(e)) => eprintln!("granitelead: no handover: {e}"),
+        Err(_) => eprintln!("granitelead: no handover: timeout"),
     }
     let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
-    // A process before that says nothing may still listen; both are then served.
+    // An old process that does not answer may still listen; the kernel then balances between both.
     socket.set_reuseport(true)?;
     socket.bind(at)?;
     Ok((socket.listen(BACKLOG)?, None))
 }
 
-async fn ask(at: SocketAddr, place: &Path) -> io::Result<(TcpListener, Predecessor)> {
-    let stream = UnixStream::connect(place).await?;
+async fn request_listener(at: SocketAddr, socket_path: &Path) -> io::Result<(TcpListener, Predecessor)> {
+    let stream = UnixStream::connect(socket_path).await?;
     let mut greeting = [0; GREETING.len()];
     let (n, passed) = loop {
         stream.readable().await?;
@@ -98,7 +101,10 @@
     let passed = passed.filter(|_| greeting[..n] == *GREETING).ok_or(io::ErrorKind::InvalidData)?;
     let listener = std::net::TcpListener::from(passed);
     if listener.local_addr()? != at {
-        return Err(io::Error::new(io::ErrorKind::AddrNotAvailable, "it listens elsewhere"));
+        return Err(io::Error::new(
+            io::ErrorKind::AddrNotAvailable,
+            "the old process listens on another address",
+        ));
     }
     listener.set_nonblocking(true)?;
     let (read, write) = stream.into_split();
@@ -127,8 +133,8 @@
     Ok(())
 }
 
-/// Reads a line as JSON; none where the peer has ended.
-async fn line<T: for<'a> Deserialize<'a>>(read: &mut BufReader<OwnedReadHalf>) -> io::Result<Option<T>> {
+/// Reads a line of JSON; `None` if the peer has closed the connection.
+async fn read_line<T: for<'a> Deserialize<'a>>(read: &mut BufReader<OwnedReadHalf>) -> io::Result<Option<T>> {
     let mut text = Vec::new();
     read.take(LINE_MAX).read_until(b'\n', &mut text).await?;
     if text.is_empty() {
@@ -137,153 +143,163 @@
     Ok(Some(serde_json::from_slice(&text)?))
 }
 
-async fn say(write: &mut OwnedWriteHalf, what: &impl Serialize) -> io::Result<()> {
-    let mut text = serde_json::to_vec(what)?;
+async fn write_line(write: &mut OwnedWriteHalf, message: &impl Serialize) -> io::Result<()> {
+    let mut text = serde_json::to_vec(message)?;
     text.push(b'\n');
     write.write_all(&text).await
 }
 
-/// One process's part in an upgrade.
+/// Both roles of a process in upgrades: successor of the old process and predecessor of the next.
 pub struct Upgrade {
     driver: Rc<Driver>,
     side: Rc<ClientSide>,
-    book: Rc<Book>,
-    by_hand: Rc<ByHand>,
+    server_ids: Rc<ServerIds>,
+    exclusions: Rc<Exclusions>,
     clients_max: usize,
     servers_max: usize,
-    odd: Cell<u64>,
+    event_count: Cell<u64>,
 }
 
 impl Upgrade {
-    /// The limits are those of the gatekeeper, however many processes it has.
+    /// Creates the upgrade state. The limits apply to the gatekeeper as a whole, however many processes it
+    /// has.
     pub fn new(
         driver: Rc<Driver>,
         side: Rc<ClientSide>,
-        book: Rc<Book>,
-        by_hand: Rc<ByHand>,
+        server_ids: Rc<ServerIds>,
+        exclusions: Rc<Exclusions>,
         (clients_max, servers_max): (usize, usize),
     ) -> Rc<Upgrade> {
-        Rc::new(Upgrade { driver, side, book, by_hand, clients_max, servers_max, odd: Cell::new(0) })
+        Rc::new(Upgrade {
+            driver,
+            side,
+            server_ids,
+            exclusions,
+            clients_max,
+            servers_max,
+            event_count: Cell::new(0),
+        })
     }
 
-    /// Takes over from the process before, as soon as requests can be served, and from then on takes
-    /// connections. Where it says nothing that can be read, this process starts from nothing.
+    /// Takes over from the old process once this one is ready to serve, and accepts connections from then
+    /// on. If the old process sends no valid state, this one starts without it.
     pub async fn take_over(self: &Rc<Self>, mut from: Predecessor) {
-        self.divide(&Held { clients: self.clients_max / 2, servers: self.servers_max / 2 });
+        self.apply_limits(&OpenConnections { clients: self.clients_max / 2, servers: self.servers_max / 2 });
         self.side.until_ready().await;
-        let told = async {
-            say(&mut from.write, &"ready").await?;
-            line::<Knowledge>(&mut from.read).await
+        let received = async {
+            write_line(&mut from.write, &"ready").await?;
+            read_line::<TransferredState>(&mut from.read).await
         };
-        match timeout(ANSWER, told).await {
-            Ok(Ok(Some(known))) => {
-                let ids = self.book.translate(known.names);
-                self.driver.take_over(known.handover, &ids);
-                if known.evacuates {
+        match timeout(REPLY_TIMEOUT, received).await {
+            Ok(Ok(Some(state))) => {
+                let ids = self.server_ids.translate(state.names);
+                self.driver.take_over(state.handover, &ids);
+                if state.evacuates {
                     self.side.evacuate();
                 }
-                eprintln!("granitelead: taken over");
+                eprintln!("granitelead: took over from the old process");
             }
-            Ok(Ok(None)) => eprintln!("granitelead: the process before has ended"),
-            Ok(Err(e)) => eprintln!("granitelead: taken over without what was known: {e}"),
-            Err(_) => eprintln!("granitelead: taken over without what was known: no answer in time"),
+            Ok(Ok(None)) => eprintln!("granitelead: the old process has exited"),
+            Ok(Err(e)) => eprintln!("granitelead: took over without state: {e}"),
+            Err(_) => eprintln!("granitelead: took over without state: timeout"),
         }
-        self.by_hand.follow();
+        self.exclusions.reload();
         self.side.set_accepts(true);
         let upgrade = self.clone();
         tokio::task::spawn_local(async move {
-            // Until the old process has ended, which closes the connection.
-            while let Ok(Some(held)) = line::<Held>(&mut from.read).await {
-                upgrade.divide(&held);
-                upgrade.by_hand.follow();
+            // Runs until the old process exits, which closes the connection.
+            while let Ok(Some(held)) = read_line::<OpenConnections>(&mut from.read).await {
+                upgrade.apply_limits(&held);
+                upgrade.exclusions.reload();
             }
-            upgrade.divide(&Held { clients: 0, servers: 0 });
+            upgrade.apply_limits(&OpenConnections { clients: 0, servers: 0 });
             drop(from.write);
         });
     }
 
-    /// Leaves to the other process what it holds.
-    fn divide(&self, held: &Held) {
-        let beside = if held.clients + held.servers > 0 { BESIDE / 2 } else { 0 };
-        let rest = |most: usize, held: usize| most.saturating_sub(held + beside).max(1);
+    /// Limits this process to the connections that the other one does not use.
+    fn apply_limits(&self, held: &OpenConnections) {
+        let reserved = if held.clients + held.servers > 0 { RESERVED_DESCRIPTORS / 2 } else { 0 };
+        let rest = |max: usize, held: usize| max.saturating_sub(held + reserved).max(1);
         self.side.set_clients_max(rest(self.clients_max, held.clients));
-        self.driver.servers.set_most(rest(self.servers_max, held.servers));
+        self.driver.servers.set_max_connections(rest(self.servers_max, held.servers));
     }
 
-    /// Waits for a process to hand over to, for ever.
-    pub async fn offer(self: Rc<Self>, listener: Rc<TcpListener>, place: PathBuf) {
-        let meeting = match meet(&place) {
-            Ok(meeting) => meeting,
-            Err(e) => return eprintln!("granitelead: no upgrades: {}: {e}", place.display()),
+    /// Accepts successor processes and hands over to them; never returns unless the socket cannot be bound.
+    pub async fn serve_successors(self: Rc<Self>, listener: Rc<TcpListener>, socket_path: PathBuf) {
+        let socket = match bind_socket(&socket_path) {
+            Ok(socket) => socket,
+            Err(e) => return eprintln!("granitelead: upgrades disabled: {}: {e}", socket_path.display()),
         };
         loop {
-            let handed = match meeting.accept().await {
+            let result = match socket.accept().await {
                 Ok((stream, _)) => self.hand_over(stream, &listener).await,
                 Err(e) => Err(e),
             };
-            if let Err(e) = handed {
-                note(&self.odd, format_args!("not handed over: {e}"));
-                tokio::time::sleep(TELL).await;
+            if let Err(e) = result {
+                note(&self.event_count, format_args!("handover failed: {e}"));
+                tokio::time::sleep(REPORT_INTERVAL).await;
             }
         }
     }
 
-    /// Hands over to one process; returns when that has ended.
+    /// Hands over to one process; returns when that process has exited.
     async fn hand_over(&self, stream: UnixStream, listener: &TcpListener) -> io::Result<()> {
         stream.writable().await?;
         stream.try_io(Interest::WRITABLE, || pass(&stream, listener))?;
         let (read, mut write) = stream.into_split();
         let mut read = BufReader::new(read);
-        let said = timeout(BECOME_READY, line::<String>(&mut read)).await;
-        if said.map_err(io::Error::other)??.as_deref() != Some("ready") {
-            return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "the new process has ended"));
+        let message = timeout(READY_TIMEOUT, read_line::<String>(&mut read)).await;
+        if message.map_err(io::Error::other)??.as_deref() != Some("ready") {
+            return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "the new process has exited"));
         }
         self.side.retire();
-        let known = Knowledge {
-            names: self.book.names(),
+        let state = TransferredState {
+            names: self.server_ids.names(),
             evacuates: self.side.evacuates(),
             handover: self.driver.hand_over(),
         };
-        eprintln!("granitelead: handed over");
-        let told = self.keep_telling(&known, &mut read, &mut write).await;
-        // Only its end ends this: the gatekeeper is this process again.
+        eprintln!("granitelead: handed over to the new process");
+        let result = self.report_connections(&state, &mut read, &mut write).await;
+        // Reports only stop when the new process has exited: this one serves alone again.
         self.driver.carry_on();
         self.side.set_clients_max(self.clients_max);
-        self.driver.servers.set_most(self.servers_max);
+        self.driver.servers.set_max_connections(self.servers_max);
         self.side.set_accepts(true);
-        told
+        result
     }
 
-    async fn keep_telling(
+    /// Sends the state, then reports the open connections until the new process exits.
+    async fn report_connections(
         &self,
-        known: &Knowledge,
+        state: &TransferredState,
         read: &mut BufReader<OwnedReadHalf>,
         write: &mut OwnedWriteHalf,
     ) -> io::Result<()> {
-        say(write, known).await?;
+        write_line(write, state).await?;
         self.side.let_leave();
         loop {
-            self.by_hand.follow();
+            self.exclusions.reload();
             self.side.set_clients_max(self.clients_max / 2);
-            // What is out finishes; the rest is the new process's.
-            self.driver.servers.set_most((self.servers_max / 4).max(1));
-            let held = Held { clients: self.side.clients(), servers: self.driver.servers.open() };
-            say(write, &held).await?;
-            if let Ok(ended) = timeout(TELL, read.read_u8()).await {
+            // Attempts in flight may finish; the other connections belong to the new process.
+            self.driver.servers.set_max_connections((self.servers_max / 4).max(1));
+            let held = OpenConnections { clients: self.side.clients(), servers: self.driver.servers.open() };
+            write_line(write, &held).await?;
+            if let Ok(ended) = timeout(REPORT_INTERVAL, read.read_u8()).await {
                 return ended.map(drop);
             }
         }
     }
 }
 
-/// Binds the meeting place. A file left there by a process that is no more gives way.
-fn meet(place: &Path) -> io::Result<UnixListener> {
-    let new = place.with_extension("new");
+/// Binds the handover socket, replacing the file of a process that has exited.
+fn bind_socket(path: &Path) -> io::Result<UnixListener> {
+    let new = path.with_extension("new");
     match std::fs::remove_file(&new) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
         _ => {}
     }
-    let meeting = UnixListener::bind(&new)?;
-    std::fs::rename(&new, place)?;
-    Ok(meeting)
+    let socket = UnixListener::bind(&new)?;
+    std::fs::rename(&new, path)?;
+    Ok(socket)
 }
--- a/crates/gatekeeper/src/lifecycle/mod.rs
+++ b/crates/gatekeeper/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! Start, reload, upgrade and stop.
+//! Process lifecycle: startup, configuration reload, upgrade and shutdown.
 
 pub mod handover;
 pub mod run;
--- a/crates/gatekeeper/src/list.rs
+++ b/crates/gatekeeper/src/list.rs
@@ -1,4 +1,5 @@
-//! The book of who is where, brought up to the list of servers.
+//! Applies the server list of the discovery service to the connection pools and the decision logic, and maps
+//! the `uid` of each server to its internal id.
 
 use crate::driver::Driver;
 use granitelead_base::note;
@@ -12,51 +13,51 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// Ids kept of servers that are no longer listed.
+/// Maximum number of ids before those of unlisted servers are removed.
 const IDS_MAX: usize = 10_000;
 
-/// Which server is which: `uid`s as the ids that the decisions go by, never given twice.
+/// Maps each server's `uid` to the id that the decision logic uses. Ids are never reused.
 #[derive(Default)]
-pub struct Book {
+pub struct ServerIds {
     ids: RefCell<HashMap<String, ServerId>>,
-    next: Cell<u64>,
-    odd: Cell<u64>,
+    last_id: Cell<u64>,
+    event_count: Cell<u64>,
 }
 
-impl Book {
-    /// The id of a server that has been listed.
+impl ServerIds {
+    /// Returns the id of a server, or `None` if it has never been listed.
     pub fn listed(&self, uid: &str) -> Option<ServerId> {
         self.ids.borrow().get(uid).copied()
     }
 
-    /// The id of a server, listed or not.
+    /// Returns the id of a server, assigning one if it has none.
     pub fn id(&self, uid: &str) -> ServerId {
         *self.ids.borrow_mut().entry(uid.to_owned()).or_insert_with(|| {
-            self.next.set(self.next.get() + 1);
-            ServerId(self.next.get())
+            self.last_id.set(self.last_id.get() + 1);
+            ServerId(self.last_id.get())
         })
     }
 
-    /// All servers' names with their ids.
+    /// Returns all servers' `uid`s with their ids.
     pub fn names(&self) -> Vec<(String, ServerId)> {
         self.ids.borrow().iter().map(|(uid, id)| (uid.clone(), *id)).collect()
     }
 
-    /// What the ids of another process are here, by its names for them.
+    /// Maps the ids of another process to those of this one by the servers' `uid`s.
     pub fn translate(&self, names: Vec<(String, ServerId)>) -> HashMap<ServerId, ServerId> {
         names.into_iter().take(IDS_MAX).map(|(uid, id)| (id, self.id(&uid))).collect()
     }
 
-    /// Brings pools and decisions to a list. `scope` says what the list covers.
+    /// Applies a list to the pools and the decision logic. `scope` says what the list covers.
     pub fn apply(&self, driver: &Rc<Driver>, list: &HostList, scope: ListScope) {
         let servers: Vec<ServerInfo> = list.targets.iter().map(|t| self.server(driver, t)).collect();
-        let named: HashSet<ServerId> = servers.iter().map(|w| w.id).collect();
+        let named: HashSet<ServerId> = servers.iter().map(|server| server.id).collect();
         if scope != ListScope::Delta {
-            driver.servers.keep_only(&named);
+            driver.servers.retain(&named);
         }
-        // A server that comes back keeps its id; only a fleet's many former lives are forgotten.
+        // A server that returns keeps its id. Past the limit, the ids of former instances are removed.
         if self.ids.borrow().len() > IDS_MAX {
-            self.ids.borrow_mut().retain(|_, id| driver.servers.keeps(*id));
+            self.ids.borrow_mut().retain(|_, id| driver.servers.is_known(*id));
         }
         driver.feed(Event::Servers(ServerList { scope, servers }));
         driver.recall_unwritten();
@@ -67,7 +68,7 @@
         let mut availability = match target.state.as_str() {
             "up" => Availability::Ready,
             "removed" => Availability::Gone,
-            // A word nobody has described is no leave to send.
+            // An unknown state must not allow requests to the server.
             _ => Availability::Draining,
         };
         match target.endpoint.parse::<SocketAddr>() {
@@ -76,7 +77,10 @@
             }
             parsed => {
                 if parsed.is_err() && availability != Availability::Gone {
-                    note(&self.odd, format_args!("discovery: server {:?} has no address", target.uid));
+                    note(
+                        &self.event_count,
+                        format_args!("discovery: server {:?} has an invalid endpoint", target.uid),
+                    );
                 }
                 availability = Availability::Gone;
                 driver.servers.unlist(id);
@@ -88,24 +92,25 @@
             zone: Zone(target.az.clone()),
             cell: target.pod_group,
             size: target.capacity_hint.filter(|n| n.is_finite() && *n > 0.0).unwrap_or(1.0),
-            // The gatekeeper's clock counts Unix time too, so that all gatekeepers agree on a start.
+            // The gatekeeper's clock is Unix time too, so that all gatekeepers use the same start time.
             place: hash(&target.uid),
             started: (target.boot_ms > 0).then(|| target.boot_ms.saturating_mul(1_000)),
         }
     }
 }
 
-/// Follows the list for ever, at wherever discovery is; calls `told` after each list or change.
+/// Follows the list at the current addresses of discovery and calls `on_update` after each full list or
+/// delta. Never returns.
 pub async fn follow(
     driver: Rc<Driver>,
-    book: Rc<Book>,
+    server_ids: Rc<ServerIds>,
     follower: Follower,
-    places: watch::Receiver<Vec<SocketAddr>>,
-    told: impl Fn(),
+    addresses: watch::Receiver<Vec<SocketAddr>>,
+    on_update: impl Fn(),
 ) {
     let take = |list: &HostList, scope: ListScope| {
-        book.apply(&driver, list, scope);
-        told();
+        server_ids.apply(&driver, list, scope);
+        on_update();
     };
-    follower.follow(places, take).await;
+    follower.follow(addresses, take).await;
 }
--- a/crates/gatekeeper/src/operators/mod.rs
+++ b/crates/gatekeeper/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' side: their door, and the servers that they leave out.
+//! Operator commands: the admin socket, and the servers that operators have excluded.
 
-pub mod by_hand;
-pub mod door;
+pub mod admin;
+pub mod exclusions;
--- a/crates/gatekeeper/src/servers/mod.rs
+++ b/crates/gatekeeper/src/servers/mod.rs
@@ -1,4 +1,4 @@
-//! The servers' side: what is opened to them, and requests sent and answers read there.
+//! Connections to the servers: dialing, pooling, and the request attempts made over them.
 
-pub mod dials;
+pub mod dial_queue;
 pub mod side;
--- a/crates/gatekeeper/src/servers/side.rs
+++ b/crates/gatekeeper/src/servers/side.rs
@@ -1,8 +1,9 @@
-//! The servers' side: pooled connections, attempts, and what an attempt's end proves.
+//! Connection pools for the servers: sends request attempts over pooled connections and classifies how they
+//! end.
 
 use crate::body::{self, gather, Broken, Gathered, Outgoing, Room, Upload};
 use crate::config::Config;
-use crate::servers::dials::{Ask, Dialed, Dials};
+use crate::servers::dial_queue::{DialDecision, DialMetrics, DialQueue};
 use crate::times::{FLOW_STALL, SERVER_ACK};
 use granitelead_base::wire::{Place, Wire, WireIo};
 use granitelead_base::{decimal, note};
@@ -20,67 +21,67 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, timeout, timeout_at, Duration, Instant};
 
-/// The name under which servers serve.
-const SERVICE: &str = "backend.local";
-/// Idle connections kept to one server.
+/// Value of the Host header in requests to servers.
+const SERVER_HOST: &str = "backend.local";
+/// Maximum number of idle connections to one server.
 const IDLE_MAX: usize = 32;
-/// How often the time of an attempt whose body still comes is looked at.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
-/// The largest buffer of a connection, bytes.
+/// Interval at which the timeout of an attempt is checked while its body is still being uploaded.
+const UPLOAD_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum buffer size of a connection, in bytes.
 const BUFFER_MAX: usize = 16 * 1024;
-/// How long a connection may take to be ready again once its answer has been read.
-const SETTLE: Duration = Duration::from_millis(250);
+/// Timeout for a connection to become ready again after its response has been read.
+const READY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What goes on to a server unchanged.
+/// The parts of a client request that are forwarded to a server unchanged.
 pub struct Parts {
     /// `GET` or `POST`.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The client's id for it.
+    /// The client's request id.
     pub id: HeaderValue,
-    /// The client's key, by which servers drop repeats.
+    /// The client's idempotency key, by which servers detect duplicates.
     pub key: Option<HeaderValue>,
-    /// The client's word on what the body is.
+    /// Content type of the body, if the client sent one.
     pub content_type: Option<HeaderValue>,
     /// The body.
     pub body: body::Request,
 }
 
 impl Parts {
-    /// The part of the body that is still at the client.
+    /// Returns the part of the body that the client has yet to send.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         self.body.rest.as_ref()
     }
 
-    /// Whether some of it can't be sent again.
+    /// Returns whether a part of the body has been consumed and cannot be sent again.
     pub fn is_spent(&self) -> bool {
         self.upload().is_some_and(|upload| upload.is_spent())
     }
 }
 
-/// A server's good answer.
+/// A successful response of a server.
 pub struct Served {
     /// The body, unchanged.
     pub body: Gathered,
-    /// What it is.
+    /// Content type of the body.
     pub content_type: Option<HeaderValue>,
 }
 
-/// The end of an attempt.
+/// The result of an attempt.
 pub struct Attempted {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The true units, if told.
+    /// The actual cost of the request in units, if the server reported it.
     pub true_units: Option<f64>,
-    /// The answer, if good.
+    /// The response, if successful.
     pub served: Option<Served>,
-    /// The connection, where it can serve again.
+    /// The connection, if it can be reused.
     conn: Option<Conn>,
 }
 
 impl Attempted {
-    /// What is left to give back once the answer's body has come.
+    /// Splits off the connection, which is given back once the response body has been received.
     pub fn connection(&mut self) -> Attempted {
         Attempted { conn: self.conn.take(), ..Attempted::from(self.outcome) }
     }
@@ -92,64 +93,65 @@
     }
 }
 
-/// How far an attempt has come, for those who may call it off.
+/// Progress of an attempt, for code that may cancel it.
 #[derive(Default)]
 pub struct Progress {
-    wire: RefCell<Option<(Rc<Wire>, Sent)>>,
+    wire: RefCell<Option<(Rc<Wire>, WriteCompletion)>>,
 }
 
-/// What tells whether a request has been written whole.
-enum Sent {
-    /// So many bytes have been written on its connection.
-    Least(u64),
-    /// The client's last byte has been passed on.
+/// Condition under which a request counts as completely written.
+enum WriteCompletion {
+    /// This many bytes have been written on its connection.
+    BytesWritten(u64),
+    /// The last byte of the client's upload has been forwarded.
     Upload(Rc<Upload>),
 }
 
 impl Progress {
-    /// Whether it still waits for a connection.
+    /// Returns whether the attempt is still waiting for a connection.
     pub fn waits(&self) -> bool {
         self.wire.borrow().is_none()
     }
 
-    /// Ends the attempt's connection at once, and tells whether a server may have the whole request.
+    /// Closes the attempt's connection immediately. Returns whether a server may have received the whole
+    /// request.
     pub fn give_up(&self) -> bool {
         match self.wire.borrow_mut().take() {
             None => false,
-            Some((wire, sent)) => {
+            Some((wire, completion)) => {
                 wire.close();
-                match sent {
-                    Sent::Least(least) => wire.written() >= least,
-                    Sent::Upload(upload) => upload.ended().is_some(),
+                match completion {
+                    WriteCompletion::BytesWritten(threshold) => wire.written() >= threshold,
+                    WriteCompletion::Upload(upload) => upload.ended().is_some(),
                 }
             }
         }
     }
 
-    /// From here on the request may be written.
+    /// Records the connection of the attempt; from here on the request may be written.
     fn begin(&self, wire: &Rc<Wire>, parts: &Parts) {
-        let sent = match parts.upload() {
-            Some(upload) => Sent::Upload(upload.clone()),
+        let completion = match parts.upload() {
+            Some(upload) => WriteCompletion::Upload(upload.clone()),
             None => {
-                let least = wire.written() + 1 + parts.body.held.len() as u64;
-                wire.expect(least);
-                Sent::Least(least)
+                let threshold = wire.written() + 1 + parts.body.held.len() as u64;
+                wire.expect(threshold);
+                WriteCompletion::BytesWritten(threshold)
             }
         };
-        *self.wire.borrow_mut() = Some((wire.clone(), sent));
+        *self.wire.borrow_mut() = Some((wire.clone(), completion));
     }
 }
 
-/// A connection between two requests.
+/// An established HTTP connection to a server.
 struct Conn {
     sender: SendRequest<Outgoing>,
     wire: Rc<Wire>,
     idle_since: Instant,
     used: bool,
-    /// How long the server may leave data unacknowledged.
-    ack: Duration,
-    /// Its place among those to its server.
-    _place: Place,
+    /// Current TCP user timeout: how long the server may leave data unacknowledged.
+    ack_timeout: Duration,
+    /// The connection's slot in the limit of its server.
+    _server_slot: Place,
 }
 
 impl Drop for Conn {
@@ -163,7 +165,7 @@
     boot_ms: u64,
     ready: bool,
     idle: Vec<Conn>,
-    /// How many connections there are, idle or not, those being opened too.
+    /// Number of connections: idle, in use and being dialed.
     open: Rc<Cell<usize>>,
 }
 
@@ -173,181 +175,185 @@
     }
 }
 
-/// What one that waits for a connection gets.
-type Given = Result<Conn, Outcome>;
+/// What a waiter receives: a connection, or the outcome of its attempt.
+type Assignment = Result<Conn, Outcome>;
 
-/// One that waits for a connection. What it was given and has not taken goes to the next.
-struct Waits {
+/// An attempt that waits for a connection. When dropped, a connection that was assigned but not taken goes
+/// to the next waiter.
+struct Waiter {
     servers: Rc<Servers>,
     server: ServerId,
     number: u64,
-    given: oneshot::Receiver<Given>,
+    assignment: oneshot::Receiver<Assignment>,
 }
 
-impl Drop for Waits {
+impl Drop for Waiter {
     fn drop(&mut self) {
-        self.servers.waiting.borrow_mut().remove(&self.number);
-        self.servers.dials.borrow_mut().leave(self.server, self.number);
-        if let Ok(Ok(conn)) = self.given.try_recv() {
-            self.servers.hand_on(self.server, conn);
+        self.servers.waiters.borrow_mut().remove(&self.number);
+        self.servers.dials.borrow_mut().remove_waiter(self.server, self.number);
+        if let Ok(Ok(conn)) = self.assignment.try_recv() {
+            self.servers.release(self.server, conn);
         }
     }
 }
 
-/// Why a connection has not come about.
-enum Undone {
-    /// There is no room for it here.
-    NoRoom,
-    /// The server can't be reached.
-    Failed,
+/// Why a connection was not established.
+enum DialError {
+    /// The connection limit is reached, or the server's instance is no longer listed.
+    NoCapacity,
+    /// The server is unreachable.
+    Unreachable,
 }
 
-/// Connections to all servers.
+/// Connection pools of all servers.
 pub struct Servers {
     pools: RefCell<HashMap<ServerId, Pool>>,
-    /// Those that get nothing new, whatever the list says.
-    left_out: RefCell<HashSet<ServerId>>,
+    /// Servers excluded by operators: they get no new requests, whatever the list says.
+    excluded: RefCell<HashSet<ServerId>>,
     open: Rc<Cell<usize>>,
-    most: Cell<usize>,
+    max_connections: Cell<usize>,
     per_server: usize,
-    dials: RefCell<Dials>,
-    /// Those that wait for a connection, by number.
-    waiting: RefCell<HashMap<u64, oneshot::Sender<Given>>>,
-    next: Cell<u64>,
+    dials: RefCell<DialQueue>,
+    /// Channels to the attempts that wait for a connection, by number.
+    waiters: RefCell<HashMap<u64, oneshot::Sender<Assignment>>>,
+    last_waiter: Cell<u64>,
     connect_timeout: Duration,
-    keep_idle: Duration,
-    calls: Rc<Cell<u64>>,
-    room: Room,
-    odd: Cell<u64>,
-    refused: Cell<u64>,
+    idle_timeout: Duration,
+    requests_written: Rc<Cell<u64>>,
+    buffer_budget: Room,
+    event_count: Cell<u64>,
+    socket_option_errors: Cell<u64>,
 }
 
 impl Servers {
-    /// None known yet. Connections are retired at half the time after which servers close them: a request
-    /// that crosses the closing would be a reset, which may have run. `calls` counts requests written whole.
-    pub fn new(config: &Config, calls: Rc<Cell<u64>>, room: Room) -> Rc<Self> {
+    /// Creates the pools without any server. Idle connections are closed after half of the servers' own idle
+    /// timeout: a request sent while the server closes the connection ends in a reset, after which it may
+    /// or may not have run. `requests_written` counts completely written requests.
+    pub fn new(config: &Config, requests_written: Rc<Cell<u64>>, buffer_budget: Room) -> Rc<Self> {
         Rc::new(Servers {
             pools: RefCell::default(),
-            left_out: RefCell::default(),
+            excluded: RefCell::default(),
             open: Rc::default(),
-            most: Cell::new(config.servers_max),
+            max_connections: Cell::new(config.servers_max),
             per_server: config.per_server_max,
-            dials: RefCell::new(Dials::new(config.settings.instances, config.seed)),
-            waiting: RefCell::default(),
-            next: Cell::new(0),
+            dials: RefCell::new(DialQueue::new(config.settings.instances, config.seed)),
+            waiters: RefCell::default(),
+            last_waiter: Cell::new(0),
             connect_timeout: config.connect_timeout,
-            keep_idle: config.server_idle / 2,
-            calls,
-            room,
-            odd: Cell::new(0),
-            refused: Cell::new(0),
+            idle_timeout: config.server_idle / 2,
+            requests_written,
+            buffer_budget,
+            event_count: Cell::new(0),
+            socket_option_errors: Cell::new(0),
         })
     }
 
-    /// Notes where a server is, when it started and whether it takes work. Idle connections to one that does
-    /// not, or to a former life of it, are closed: a request written to a dead process is a reset, and an
-    /// unsafe one would then be failed for nothing.
+    /// Records the address, start time and readiness of a server. Idle connections to a server that is not
+    /// ready, or to a former instance of it, are closed: a request written to a dead process ends in a
+    /// reset, and a non-idempotent one would then fail needlessly.
     pub fn list(&self, id: ServerId, addr: SocketAddr, boot_ms: u64, ready: bool) {
         let mut pools = self.pools.borrow_mut();
         let new = || Pool { addr, boot_ms, ready, idle: Vec::new(), open: Rc::default() };
         let pool = pools.entry(id).or_insert_with(new);
-        let other = (pool.addr, pool.boot_ms) != (addr, boot_ms);
-        if other || !ready {
+        let replaced = (pool.addr, pool.boot_ms) != (addr, boot_ms);
+        if replaced || !ready {
             pool.idle.clear();
         }
         (pool.addr, pool.boot_ms, pool.ready) = (addr, boot_ms, ready);
         drop(pools);
-        if other {
-            self.forget(id);
+        if replaced {
+            self.reset_dials(id);
         }
     }
 
-    /// Nothing that was learned of opening connections to a server holds any more.
-    fn forget(&self, id: ServerId) {
-        let waited = self.dials.borrow_mut().forget(id);
-        waited.into_iter().for_each(|number| drop(self.give(number, Err(Outcome::NotSent))));
+    /// Discards the dial state of a server and fails the attempts that wait for it.
+    fn reset_dials(&self, id: ServerId) {
+        let waiters = self.dials.borrow_mut().reset(id);
+        waiters.into_iter().for_each(|number| drop(self.assign(number, Err(Outcome::NotSent))));
     }
 
-    /// Forgets a server.
+    /// Removes a server.
     pub fn unlist(&self, id: ServerId) {
         self.pools.borrow_mut().remove(&id);
-        self.forget(id);
+        self.reset_dials(id);
     }
 
-    /// Forgets all servers but these.
-    pub fn keep_only(&self, named: &HashSet<ServerId>) {
-        let others = self.pools.borrow().keys().filter(|id| !named.contains(id)).copied().collect::<Vec<_>>();
+    /// Removes all servers except these.
+    pub fn retain(&self, listed: &HashSet<ServerId>) {
+        let others =
+            self.pools.borrow().keys().filter(|id| !listed.contains(id)).copied().collect::<Vec<_>>();
         others.into_iter().for_each(|id| self.unlist(id));
     }
 
-    /// Whether the list names this server, or it is left out by hand.
-    pub fn keeps(&self, id: ServerId) -> bool {
-        self.pools.borrow().contains_key(&id) || self.left_out.borrow().contains(&id)
+    /// Returns whether the server is listed or excluded by operators.
+    pub fn is_known(&self, id: ServerId) -> bool {
+        self.pools.borrow().contains_key(&id) || self.excluded.borrow().contains(&id)
     }
 
-    /// How many connections there may be from now on; those that idle beyond it are closed.
-    pub fn set_most(&self, most: usize) {
-        self.most.set(most);
+    /// Sets the maximum number of connections and closes idle ones in excess of it.
+    pub fn set_max_connections(&self, max: usize) {
+        self.max_connections.set(max);
         let mut pools = self.pools.borrow_mut();
         for pool in pools.values_mut() {
-            while self.open.get() > most && pool.idle.pop().is_some() {}
+            while self.open.get() > max && pool.idle.pop().is_some() {}
         }
     }
 
-    /// How many connections are open.
+    /// Returns the number of open connections.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// How many servers the list names.
+    /// Returns the number of listed servers.
     pub fn listed(&self) -> usize {
         self.pools.borrow().len()
     }
 
-    /// Leaves a server out, or no longer.
-    pub fn set_left_out(&self, id: ServerId, out: bool) {
-        if !out {
-            self.left_out.borrow_mut().remove(&id);
-        } else if self.left_out.borrow_mut().insert(id) {
-            // It will be another process when it is put back.
+    /// Excludes a server or includes it again.
+    pub fn set_left_out(&self, id: ServerId, excluded: bool) {
+        if !excluded {
+            self.excluded.borrow_mut().remove(&id);
+        } else if self.excluded.borrow_mut().insert(id) {
+            // The server may have been restarted by the time it is included again.
             self.pools.borrow_mut().entry(id).and_modify(|pool| pool.idle.clear());
         }
     }
 
-    /// Whether anything new may go to this server, as far as the list and operators have told.
+    /// Returns whether new requests may be sent to this server: it is listed as ready and not excluded.
     pub fn takes_work(&self, id: ServerId) -> bool {
         let listed = self.pools.borrow().get(&id).is_some_and(|pool| pool.ready);
-        listed && !self.left_out.borrow().contains(&id)
+        listed && !self.excluded.borrow().contains(&id)
     }
 
-    /// Closes connections that have been idle for long, or that recent use does not want.
+    /// Closes idle connections that have timed out or that exceed the recent peak usage.
     pub fn retire_idle(&self) {
         let mut dials = self.dials.borrow_mut();
-        dials.look(now());
+        dials.advance(now());
         for (id, pool) in self.pools.borrow_mut().iter_mut() {
-            pool.idle.retain(|conn| conn.idle_since.elapsed() < self.keep_idle && !conn.sender.is_closed());
-            let spare = dials.wanted(*id).saturating_sub(pool.in_use());
+            pool.idle
+                .retain(|conn| conn.idle_since.elapsed() < self.idle_timeout && !conn.sender.is_closed());
+            let spare = dials.recent_peak(*id).saturating_sub(pool.in_use());
             pool.idle.drain(..pool.idle.len().saturating_sub(spare));
         }
     }
 
-    /// The figures of connections to servers.
+    /// Returns the metrics of connections to servers.
     pub fn figures(&self) -> Vec<(String, u64)> {
         let idle: usize = self.pools.borrow().values().map(|pool| pool.idle.len()).sum();
-        let Dialed { begun, failed, waited, held_off } = self.dials.borrow().dialed;
+        let DialMetrics { started, failed, waited, rejected } = self.dials.borrow().metrics;
         [
             ("server_connections", self.open.get() as u64),
             ("server_connections_idle", idle as u64),
-            ("handshakes", begun),
+            ("handshakes", started),
             ("handshakes_failed", failed),
             ("handshakes_waited_for", waited),
-            ("handshakes_held_off", held_off),
+            ("handshakes_held_off", rejected),
         ]
         .map(|(name, value)| (name.to_owned(), value))
         .to_vec()
     }
 
-    /// Sends a request once and waits for its answer: the whole of a short one, the beginning of a long one.
+    /// Sends a request once and waits for its response: the whole body if it is short, else its beginning.
     pub async fn attempt(
         self: &Rc<Self>,
         server: ServerId,
@@ -360,38 +366,39 @@
             if parts.is_spent() {
                 return Outcome::NotSent.into();
             }
-            let mut conn = match self.connection(server, deadline).await {
+            let mut conn = match self.acquire(server, deadline).await {
                 Ok(conn) => conn,
                 Err(outcome) => return outcome.into(),
             };
-            // The connection may have taken its time: the list of now decides, not that of the send.
+            // The list may have changed while the attempt waited for a connection; its current state decides.
             if !self.takes_work(server) {
                 return Outcome::NotSent.into();
             }
-            let ack = if parts.upload().is_some() { FLOW_STALL } else { SERVER_ACK };
-            if std::mem::replace(&mut conn.ack, ack) != ack {
-                conn.wire.set_user_timeout(ack, &self.refused);
+            let ack_timeout = if parts.upload().is_some() { FLOW_STALL } else { SERVER_ACK };
+            if std::mem::replace(&mut conn.ack_timeout, ack_timeout) != ack_timeout {
+                conn.wire.set_user_timeout(ack_timeout, &self.socket_option_errors);
             }
             progress.begin(&conn.wire, parts);
             let ended = tokio::select! {
-                ended = exchange(&mut conn.sender, parts, deadline, &self.room) => Some(ended),
-                () = over(parts, deadline, time) => None,
+                ended = exchange(&mut conn.sender, parts, deadline, &self.buffer_budget) => Some(ended),
+                () = expired(parts, deadline, time) => None,
             };
-            if let Some(Ok(answer)) = ended {
-                return self.judge(answer, conn);
+            if let Some(Ok(response)) = ended {
+                return self.classify(response, conn);
             }
-            let (used, whole) = (conn.used, progress.give_up());
+            let (used, written) = (conn.used, progress.give_up());
             if conn.wire.is_silent() {
-                // The others lead to the same machine.
+                // The other connections lead to the same unresponsive machine.
                 self.pools.borrow_mut().entry(server).and_modify(|pool| pool.idle.clear());
             }
             drop(conn);
             match ended {
-                // A kept connection turned out to be closed before anything was written: that was no attempt.
-                Some(Err(_)) if used && !whole && !parts.is_spent() => continue,
-                _ if !whole => return Outcome::ConnectFailed.into(),
+                // A reused connection was closed by the server before the request was completely written:
+                // this does not count as an attempt.
+                Some(Err(_)) if used && !written && !parts.is_spent() => continue,
+                _ if !written => return Outcome::ConnectFailed.into(),
                 Some(Err(Broken::TooLong)) => {
-                    note(&self.odd, format_args!("server {}: answer too large", server.0));
+                    note(&self.event_count, format_args!("server {}: response too large", server.0));
                     return Outcome::Error.into();
                 }
                 Some(_) => return Outcome::Reset.into(),
@@ -400,28 +407,28 @@
         }
     }
 
-    /// Takes a connection back once it is ready for another request.
+    /// Returns the connection of an attempt to the pool once it is ready for another request.
     pub async fn give_back(self: &Rc<Self>, server: ServerId, attempted: Attempted) {
         let Some(mut conn) = attempted.conn else {
-            // One has ended, and others may be opened in its place.
-            return self.open_wanted();
+            // A connection was closed, which may make capacity for another.
+            return self.dial_for_waiters();
         };
-        if !matches!(timeout(SETTLE, conn.sender.ready()).await, Ok(Ok(()))) {
+        if !matches!(timeout(READY_TIMEOUT, conn.sender.ready()).await, Ok(Ok(()))) {
             return;
         }
         conn.used = true;
-        self.hand_on(server, conn);
+        self.release(server, conn);
     }
 
-    /// A connection is free: the first that waits gets it, or it is kept.
-    fn hand_on(&self, server: ServerId, mut conn: Conn) {
+    /// Assigns a free connection to the oldest waiter, or adds it to the idle connections.
+    fn release(&self, server: ServerId, mut conn: Conn) {
         if !self.takes_work(server) {
             return;
         }
         loop {
-            let Some(number) = self.dials.borrow_mut().first(server) else { break };
-            match self.give(number, Ok(conn)) {
-                Some(Ok(back)) => conn = back,
+            let Some(number) = self.dials.borrow_mut().next_waiter(server) else { break };
+            match self.assign(number, Ok(conn)) {
+                Some(Ok(returned)) => conn = returned,
                 _ => return,
             }
         }
@@ -433,137 +440,139 @@
         }
     }
 
-    /// Gives one that waits what it waits for; what it does not take comes back.
-    fn give(&self, number: u64, given: Given) -> Option<Given> {
-        let waits = self.waiting.borrow_mut().remove(&number);
-        match waits {
-            Some(waits) => waits.send(given).err(),
-            None => Some(given),
+    /// Sends an assignment to a waiter; returns it if the waiter no longer exists.
+    fn assign(&self, number: u64, assignment: Assignment) -> Option<Assignment> {
+        let waiter = self.waiters.borrow_mut().remove(&number);
+        match waiter {
+            Some(waiter) => waiter.send(assignment).err(),
+            None => Some(assignment),
         }
     }
 
-    /// A kept connection, the last used first.
-    fn kept(&self, server: ServerId) -> Option<Conn> {
+    /// Takes the most recently used idle connection that is still usable.
+    fn take_idle(&self, server: ServerId) -> Option<Conn> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.get_mut(&server)?;
         while let Some(conn) = pool.idle.pop() {
-            if conn.idle_since.elapsed() < self.keep_idle && conn.sender.is_ready() {
+            if conn.idle_since.elapsed() < self.idle_timeout && conn.sender.is_ready() {
                 return Some(conn);
             }
         }
         None
     }
 
-    /// A kept connection, or the first that comes free: one that is given back, or a new one.
-    async fn connection(self: &Rc<Self>, server: ServerId, deadline: Instant) -> Result<Conn, Outcome> {
+    /// Takes an idle connection, or waits for the first that is returned or dialed.
+    async fn acquire(self: &Rc<Self>, server: ServerId, deadline: Instant) -> Result<Conn, Outcome> {
         if !self.takes_work(server) {
             return Err(Outcome::NotSent);
         }
-        let given = match self.kept(server) {
+        let assignment = match self.take_idle(server) {
             Some(conn) => Ok(conn),
-            None => self.wait_for_one(server, deadline).await,
+            None => self.wait_for_connection(server, deadline).await,
         };
         if let Some(pool) = self.pools.borrow().get(&server) {
-            self.dials.borrow_mut().uses(server, pool.in_use());
+            self.dials.borrow_mut().record_in_use(server, pool.in_use());
         }
-        given
+        assignment
     }
 
-    async fn wait_for_one(self: &Rc<Self>, server: ServerId, deadline: Instant) -> Given {
-        self.next.set(self.next.get() + 1);
-        let number = self.next.get();
-        let ask = self.dials.borrow_mut().ask(server, number, self.may_open(server), now());
-        if ask == Ask::HeldOff {
+    async fn wait_for_connection(self: &Rc<Self>, server: ServerId, deadline: Instant) -> Assignment {
+        self.last_waiter.set(self.last_waiter.get() + 1);
+        let number = self.last_waiter.get();
+        let decision = self.dials.borrow_mut().request(server, number, self.may_open(server), now());
+        if decision == DialDecision::Backoff {
             return Err(Outcome::ConnectFailed);
         }
-        let (give, given) = oneshot::channel();
-        self.waiting.borrow_mut().insert(number, give);
-        let mut waits = Waits { servers: self.clone(), server, number, given };
-        if ask == Ask::Open {
-            self.begin_one(server);
+        let (sender, assignment) = oneshot::channel();
+        self.waiters.borrow_mut().insert(number, sender);
+        let mut waiter = Waiter { servers: self.clone(), server, number, assignment };
+        if decision == DialDecision::Open {
+            self.spawn_dial(server);
         }
-        // A machine that is cut off says nothing: the time-out is ours.
+        // An unreachable machine may never refuse the connection, so the wait needs its own timeout.
         let until = deadline.min(Instant::now() + self.connect_timeout);
-        match timeout_at(until, &mut waits.given).await {
-            Ok(Ok(given)) => given,
+        match timeout_at(until, &mut waiter.assignment).await {
+            Ok(Ok(assignment)) => assignment,
             Ok(Err(_)) => Err(Outcome::NotSent),
             Err(_) => Err(Outcome::ConnectFailed),
         }
     }
 
-    /// Opens a connection for whoever waits the longest by then.
-    fn begin_one(self: &Rc<Self>, server: ServerId) {
-        let place =
+    /// Dials a connection in the background, for the oldest waiter at the time when it is established.
+    fn spawn_dial(self: &Rc<Self>, server: ServerId) {
+        let server_slot =
             self.pools.borrow().get(&server).and_then(|pool| Place::take(&pool.open, self.per_server));
         let this = self.clone();
         tokio::task::spawn_local(async move {
-            let opened = this.dial(server, place).await;
-            let lost = match &opened {
-                Ok(_) => this.dials.borrow_mut().opened(server, true, now()),
-                Err(Undone::Failed) => this.dials.borrow_mut().opened(server, false, now()),
-                Err(Undone::NoRoom) => this.dials.borrow_mut().no_room(server).into_iter().collect(),
+            let dialed = this.dial(server, server_slot).await;
+            let failed = match &dialed {
+                Ok(_) => this.dials.borrow_mut().dial_finished(server, true, now()),
+                Err(DialError::Unreachable) => this.dials.borrow_mut().dial_finished(server, false, now()),
+                Err(DialError::NoCapacity) => {
+                    this.dials.borrow_mut().dial_skipped(server).into_iter().collect()
+                }
             };
-            let why = match &opened {
-                Err(Undone::NoRoom) => Outcome::NotSent,
+            let outcome = match &dialed {
+                Err(DialError::NoCapacity) => Outcome::NotSent,
                 _ => Outcome::ConnectFailed,
             };
-            lost.into_iter().for_each(|number| drop(this.give(number, Err(why))));
-            if let Ok(conn) = opened {
-                this.hand_on(server, conn);
+            failed.into_iter().for_each(|number| drop(this.assign(number, Err(outcome))));
+            if let Ok(conn) = dialed {
+                this.release(server, conn);
             }
-            this.open_wanted();
+            this.dial_for_waiters();
         });
     }
 
-    /// Opens what those that wait need, as far as the bounds let it.
-    fn open_wanted(self: &Rc<Self>) {
-        let wanting = self.dials.borrow().wanting();
-        for server in wanting {
-            while self.may_open(server) && self.dials.borrow_mut().open_one(server) {
-                self.begin_one(server);
+    /// Dials connections for waiters, within the limits.
+    fn dial_for_waiters(self: &Rc<Self>) {
+        let servers = self.dials.borrow().servers_to_dial();
+        for server in servers {
+            while self.may_open(server) && self.dials.borrow_mut().start_dial(server) {
+                self.spawn_dial(server);
             }
         }
     }
 
-    /// Whether a server's limit leaves room for a further connection.
+    /// Returns whether the server's connection limit allows a further connection.
     fn may_open(&self, server: ServerId) -> bool {
         self.pools.borrow().get(&server).is_some_and(|pool| pool.open.get() < self.per_server)
     }
 
-    async fn dial(&self, server: ServerId, to_it: Option<Place>) -> Result<Conn, Undone> {
+    async fn dial(&self, server: ServerId, server_slot: Option<Place>) -> Result<Conn, DialError> {
         let (addr, boot_ms) = {
             let pools = self.pools.borrow();
-            let pool = pools.get(&server).ok_or(Undone::NoRoom)?;
+            let pool = pools.get(&server).ok_or(DialError::NoCapacity)?;
             (pool.addr, pool.boot_ms)
         };
-        let to_it = to_it.ok_or(Undone::NoRoom)?;
-        let place = Place::take(&self.open, self.most.get()).or_else(|| {
-            self.close_an_idle_one();
-            Place::take(&self.open, self.most.get())
+        let server_slot = server_slot.ok_or(DialError::NoCapacity)?;
+        let slot = Place::take(&self.open, self.max_connections.get()).or_else(|| {
+            self.close_oldest_idle();
+            Place::take(&self.open, self.max_connections.get())
         });
-        let place = place.ok_or(Undone::NoRoom)?;
+        let slot = slot.ok_or(DialError::NoCapacity)?;
         let connected = timeout(self.connect_timeout, TcpStream::connect(addr)).await;
-        let Ok(Ok(stream)) = connected else { return Err(Undone::Failed) };
-        let is_there = |pool: &Pool| (pool.addr, pool.boot_ms) == (addr, boot_ms);
-        if !self.pools.borrow().get(&server).is_some_and(is_there) {
-            // It leads to a former life of the server.
-            return Err(Undone::NoRoom);
+        let Ok(Ok(stream)) = connected else { return Err(DialError::Unreachable) };
+        let is_same_instance = |pool: &Pool| (pool.addr, pool.boot_ms) == (addr, boot_ms);
+        if !self.pools.borrow().get(&server).is_some_and(is_same_instance) {
+            // The connection leads to a former instance of the server.
+            return Err(DialError::NoCapacity);
         }
         let _ = stream.set_nodelay(true);
-        let wire = Wire::counting(stream, place, self.calls.clone());
+        let wire = Wire::counting(stream, slot, self.requests_written.clone());
         let io = TokioIo::new(WireIo(wire.clone()));
         let built = http1::Builder::new().max_buf_size(BUFFER_MAX).handshake(io).await;
-        let (sender, driver) = built.map_err(|_| Undone::Failed)?;
+        let (sender, driver) = built.map_err(|_| DialError::Unreachable)?;
         let task = tokio::task::spawn_local(async move {
-            // How it ends is told to the attempt that it carries.
+            // The attempt that uses the connection gets the error through its sender.
             let _ = driver.await;
         });
         wire.driven_by(task.abort_handle());
-        let (idle_since, ack) = (Instant::now(), Duration::ZERO);
-        Ok(Conn { sender, wire, idle_since, used: false, ack, _place: to_it })
+        let (idle_since, ack_timeout) = (Instant::now(), Duration::ZERO);
+        Ok(Conn { sender, wire, idle_since, used: false, ack_timeout, _server_slot: server_slot })
     }
 
-    fn close_an_idle_one(&self) {
+    fn close_oldest_idle(&self) {
         let mut pools = self.pools.borrow_mut();
         let oldest =
             pools.values_mut().filter(|pool| !pool.idle.is_empty()).min_by_key(|p| p.idle[0].idle_since);
@@ -572,13 +581,13 @@
         }
     }
 
-    /// What a whole answer says.
-    fn judge(&self, (status, headers, body): Answer, conn: Conn) -> Attempted {
+    /// Derives the result of an attempt from a complete response.
+    fn classify(&self, (status, headers, body): ServerResponse, conn: Conn) -> Attempted {
         let not_started = headers.get("not-started").is_some_and(|value| value == "1");
         let outcome = match status {
             StatusCode::OK => Outcome::Ok,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_started => Outcome::Full,
-            // Without the word that it never began, it may have run.
+            // Unless the server states that the request was not started, it may have run.
             _ => Outcome::Error,
         };
         let good = outcome == Outcome::Ok;
@@ -592,19 +601,19 @@
     Instant::now().into_std()
 }
 
-type Answer = (StatusCode, HeaderMap, Gathered);
+type ServerResponse = (StatusCode, HeaderMap, Gathered);
 
-/// Returns when an attempt has had its time, which begins with the request's last byte; before that, when
-/// nothing of it has moved for long.
-async fn over(parts: &Parts, deadline: Instant, time: Duration) {
+/// Returns when an attempt has timed out. Its time starts with the last byte of the request; while the body
+/// is being uploaded, only a stalled upload times out.
+async fn expired(parts: &Parts, deadline: Instant, time: Duration) {
     let Some(upload) = parts.upload() else { return sleep_until(deadline).await };
     loop {
         let until = upload.ended().map_or(upload.moved().max(deadline - time) + FLOW_STALL, |at| at + time);
         if Instant::now() >= until {
             return;
         }
-        // It may end meanwhile, with less time left.
-        sleep_until(until.min(Instant::now() + LOOK_AGAIN)).await;
+        // The upload may end meanwhile, which can shorten the time left.
+        sleep_until(until.min(Instant::now() + UPLOAD_POLL_INTERVAL)).await;
     }
 }
 
@@ -612,13 +621,13 @@
     sender: &mut SendRequest<Outgoing>,
     parts: &Parts,
     deadline: Instant,
-    room: &Room,
-) -> Result<Answer, Broken> {
+    buffer_budget: &Room,
+) -> Result<ServerResponse, Broken> {
     let mut request = Request::new(Outgoing::new(&parts.body));
     *request.method_mut() = parts.method.clone();
     *request.uri_mut() = parts.uri.clone();
     let headers = request.headers_mut();
-    headers.insert(HOST, HeaderValue::from_static(SERVICE));
+    headers.insert(HOST, HeaderValue::from_static(SERVER_HOST));
     headers.insert("request-id", parts.id.clone());
     if let Some(key) = &parts.key {
         headers.insert("idempotency-key", key.clone());
@@ -630,12 +639,12 @@
     if let Some(value) = &parts.content_type {
         headers.insert(CONTENT_TYPE, value.clone());
     }
-    let answer: Response<Incoming> = sender.send_request(request).await.map_err(|_| Broken::Connection)?;
-    let (head, body) = answer.into_parts();
+    let response: Response<Incoming> = sender.send_request(request).await.map_err(|_| Broken::Connection)?;
+    let (head, body) = response.into_parts();
     if head.headers.contains_key(CONTENT_LENGTH) && head.headers.contains_key(TRANSFER_ENCODING) {
-        // Which of the two framings holds can't be told.
+        // With both framing headers it is ambiguous where the body ends.
         return Err(Broken::Connection);
     }
-    let body = gather(body, room, head.status == StatusCode::OK).await?;
+    let body = gather(body, buffer_budget, head.status == StatusCode::OK).await?;
     Ok((head.status, head.headers, body))
 }
--- a/crates/gatekeeper/src/telemetry.rs
+++ b/crates/gatekeeper/src/telemetry.rs
@@ -1,40 +1,40 @@
-//! The figures that operators ask for: bumped as things happen, read on demand.
+//! Request counters and the metrics report that operators read over the admin socket.
 
 use std::cell::Cell;
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// The way in which a request has ended.
+/// How a request has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// With a server's answer.
+    /// With a server's response.
     Served,
-    /// Turned away.
+    /// Rejected.
     Refused,
-    /// Without an answer in time.
+    /// Its deadline passed without a response.
     Late,
-    /// Failed otherwise.
+    /// Failed for another reason.
     Failed,
-    /// The client left first.
+    /// The client disconnected before the response.
     Left,
 }
 
-/// How many requests have ended in which way.
+/// Number of requests by how they have ended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ended {
-    /// With a server's answer.
+    /// With a server's response.
     pub served: u64,
-    /// Turned away.
+    /// Rejected.
     pub refused: u64,
-    /// Without an answer in time.
+    /// Its deadline passed without a response.
     pub late: u64,
-    /// Failed otherwise.
+    /// Failed for another reason.
     pub failed: u64,
-    /// The client left first.
+    /// The client disconnected before the response.
     pub left: u64,
 }
 
-/// Counts since the process started.
+/// Request counters since the start of the process.
 pub struct Telemetry {
     classes: Vec<(String, Cell<Ended>)>,
     inflight: Cell<u64>,
@@ -42,18 +42,18 @@
 }
 
 impl Telemetry {
-    /// All counts at 0, for the classes of these names.
+    /// Creates counters at 0 for classes with these names.
     pub fn new(classes: &[String]) -> Telemetry {
         let classes = classes.iter().map(|name| (name.clone(), Cell::default())).collect();
         Telemetry { classes, inflight: Cell::new(0), calls: Rc::default() }
     }
 
-    /// A request has been taken.
+    /// Counts a request as in flight.
     pub fn taken(&self) {
         self.inflight.set(self.inflight.get() + 1);
     }
 
-    /// A request that was taken has ended.
+    /// Counts the end of a request that was in flight.
     pub fn ended(&self, class: usize, end: End) {
         self.inflight.set(self.inflight.get().saturating_sub(1));
         let Some((_, counts)) = self.classes.get(class) else { return };
@@ -68,17 +68,18 @@
         counts.set(ended);
     }
 
-    /// The count of attempts written whole, for those that see their last byte go.
+    /// Returns the counter of attempts whose request was written completely, for the code that writes the
+    /// last byte.
     pub fn calls(&self) -> Rc<Cell<u64>> {
         self.calls.clone()
     }
 
-    /// Requests taken but not yet ended.
+    /// Returns the number of requests in flight.
     pub fn inflight(&self) -> u64 {
         self.inflight.get()
     }
 
-    /// How the requests of all classes have ended.
+    /// Returns the counts of all classes together.
     pub fn total(&self) -> Ended {
         self.classes.iter().map(|(_, counts)| counts.get()).fold(Ended::default(), |sum, n| Ended {
             served: sum.served + n.served,
@@ -89,22 +90,22 @@
         })
     }
 
-    /// The figures, a line each, with those of other parts.
+    /// Formats the metrics, one per line, together with those of other components.
     pub fn report(&self, more: &[(String, u64)]) -> String {
         let mut text = String::new();
         for (name, counts) in &self.classes {
             let ended = counts.get();
             let by_class =
                 [("success", ended.served), ("busy", ended.refused), ("failure", ended.late + ended.failed)];
-            for (figure, count) in by_class {
-                // Writing to a text cannot fail.
-                let _ = writeln!(text, "app_{figure}{{tier=\"{name}\"}} {count}");
+            for (metric, count) in by_class {
+                // Writing to a String cannot fail.
+                let _ = writeln!(text, "app_{metric}{{tier=\"{name}\"}} {count}");
             }
         }
         let single = [("backend_calls", self.calls.get()), ("inflight", self.inflight.get())];
-        let more = more.iter().map(|(figure, value)| (figure.as_str(), *value));
-        for (figure, value) in single.into_iter().chain(more) {
-            let _ = writeln!(text, "app_{figure} {value}");
+        let more = more.iter().map(|(metric, value)| (metric.as_str(), *value));
+        for (metric, value) in single.into_iter().chain(more) {
+            let _ = writeln!(text, "app_{metric} {value}");
         }
         text
     }
@@ -115,18 +116,18 @@
     use super::*;
 
     #[test]
-    fn every_class_is_there_from_nothing_on() {
+    fn every_class_is_reported_before_the_first_request() {
         let telemetry = Telemetry::new(&["a".into(), "b".into()]);
-        for figure in ["success", "busy", "failure"] {
+        for metric in ["success", "busy", "failure"] {
             for class in ["a", "b"] {
-                let line = format!("app_{figure}{{tier=\"{class}\"}} 0\n");
+                let line = format!("app_{metric}{{tier=\"{class}\"}} 0\n");
                 assert!(telemetry.report(&[]).contains(&line), "{line}");
             }
         }
     }
 
     #[test]
-    fn each_end_counts_once_under_its_class() {
+    fn each_ended_request_is_counted_once_under_its_class() {
         let telemetry = Telemetry::new(&["a".into(), "b".into()]);
         for end in [End::Served, End::Refused, End::Late, End::Failed, End::Left] {
             telemetry.taken();
