--- a/crates/gatekeeper/src/servers/dial_queue.rs
+++ b/crates/gatekeeper/src/servers/dial_queue.rs
@@ -131,7 +131,7 @@
     }
 
     /// Records a dial that was not made for lack of local capacity, which says nothing about the server.
-    /// Returns the waiter that fails with queue.
+    /// Returns the waiter that fails with it.
     pub fn dial_skipped(&mut self, to: ServerId) -> Option<u64> {
         self.dialing -= 1;
         let server = self.servers.get_mut(&to)?;
