--- a/crates/gatekeeper/src/body.rs
+++ b/crates/gatekeeper/src/body.rs
@@ -323,7 +323,7 @@
 impl Counted {
     /// Of a request whose client has left unless something else is said.
     pub fn new(telemetry: Rc<Telemetry>, class: usize) -> Counted {
-        Counted { telemetry, class, end: Cell::new(End::Left) }
+        Counted { telemetry, class, end: Cell::new(End::ClientDisconnected) }
     }
 }
 
--- a/crates/gatekeeper/src/clients/side.rs
+++ b/crates/gatekeeper/src/clients/side.rs
@@ -6,7 +6,7 @@
 use crate::clients::turns::NetworkTurns;
 use crate::config::Config;
 use crate::driver::{self, Answer, Driver, Taken};
-use crate::servers::side::Parts;
+use crate::servers::pool::Parts;
 use crate::times;
 use bytes::Bytes;
 use granitelead_base::linger::Linger;
--- a/crates/gatekeeper/src/config.rs
+++ b/crates/gatekeeper/src/config.rs
@@ -163,7 +163,7 @@
     /// Local address on which datagrams are received.
     pub listen: SocketAddr,
     /// Address of each gatekeeper by number, including this one's own.
-    pub places: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// Name of the fleet.
     pub fleet: String,
     /// Number of this gatekeeper.
@@ -210,7 +210,7 @@
     /// Whether a client that half-closes its connection after a request still gets the response.
     pub half_close: bool,
     /// Buffer budget for the bodies of all requests, in bytes: a part of the limit on memory.
-    pub held_max: usize,
+    pub body_buffer_max: usize,
     /// How long to wait for the server list where it has to be polled; after that the fetch counts as
     /// complete.
     pub ask_within: Duration,
@@ -282,7 +282,7 @@
         };
         let available = sockets - RESERVED_SOCKETS;
         let memory = (memory * f64::from(1 << 20)) as usize;
-        let held_max = file.limit_up_to("held_mb", memory >> 20)?.map_or(memory / 4, |mb| mb << 20);
+        let body_buffer_max = file.limit_up_to("held_mb", memory >> 20)?.map_or(memory / 4, |mb| mb << 20);
         let servers_max = file.limit_up_to("servers", available - 1)?;
         let left = available - servers_max.unwrap_or(available / 3).min(available - 1);
         let clients_max = file.limit_up_to("clients", left)?.unwrap_or(left.min(available * 2 / 3));
@@ -315,7 +315,7 @@
             server_idle: span("limits.connIdleUs")?,
             settings,
             names,
-            held_max,
+            body_buffer_max,
             clients_max,
             servers_max,
         })
@@ -340,23 +340,23 @@
 fn peers(
     membership: FileMembership,
     listen: Option<String>,
-    places: Vec<String>,
+    addresses: Vec<String>,
     settings: &Settings,
 ) -> Result<PeersConfig, ConfigError> {
     let instances = settings.instances as usize;
-    if places.len() != instances {
-        return Err(ConfigFault::PeerCountMismatch(places.len(), instances).at("peers"));
+    if addresses.len() != instances {
+        return Err(ConfigFault::PeerCountMismatch(addresses.len(), instances).at("peers"));
     }
     // The membership protocol encodes gatekeeper numbers in two bytes.
-    let me = u16::try_from(settings.me).ok().filter(|me| usize::from(*me) < places.len());
+    let me = u16::try_from(settings.me).ok().filter(|me| usize::from(*me) < addresses.len());
     let me =
-        me.ok_or_else(|| ConfigFault::ExceedsTotal(settings.me as usize, places.len()).at("settings.me"))?;
+        me.ok_or_else(|| ConfigFault::ExceedsTotal(settings.me as usize, addresses.len()).at("settings.me"))?;
     if membership.fleet.is_empty() {
         return Err(ConfigFault::Empty.at("membership.fleet"));
     }
     let listen = address("peer_listen", listen)?;
-    let places = places.into_iter().map(|at| address("peers", Some(at))).collect::<Result<_, _>>()?;
-    Ok(PeersConfig { listen, places, fleet: membership.fleet, me })
+    let addresses = addresses.into_iter().map(|at| address("peers", Some(at))).collect::<Result<_, _>>()?;
+    Ok(PeersConfig { listen, addresses, fleet: membership.fleet, me })
 }
 
 fn counter(value: Option<String>) -> Result<Option<SocketAddr>, ConfigError> {
--- a/crates/gatekeeper/src/counter.rs
+++ b/crates/gatekeeper/src/counter.rs
@@ -42,7 +42,7 @@
     /// Returns the counter client.
     fn counter(&self) -> &Counter;
     /// Handles the outcome of a call.
-    fn hear(self: &Rc<Self>, event: Event);
+    fn on_counter_event(self: &Rc<Self>, event: Event);
 }
 
 /// Client of the counter service with a single connection.
@@ -81,7 +81,7 @@
     pub fn call(&self, caller: &Rc<impl Caller>, name: CounterName, amount: f64, keep: Micros) {
         let keep = keep.div_ceil(1_000).max(1).to_string();
         if !self.write(&["CNT.ADD", &name.0, &amount.to_string(), &keep], Some(name.clone())) {
-            return caller.hear(Event::Counter { name, outcome: CounterOutcome::Refused });
+            return caller.on_counter_event(Event::Counter { name, outcome: CounterOutcome::Refused });
         }
         let (caller, seq, call_timeout) = (caller.clone(), self.last_seq.get(), self.call_timeout);
         tokio::task::spawn_local(async move {
@@ -100,7 +100,7 @@
             .find(|call| call.seq == seq)
             .and_then(|call| call.name.take());
         if let Some(name) = name {
-            caller.hear(Event::Counter { name, outcome: CounterOutcome::Timeout });
+            caller.on_counter_event(Event::Counter { name, outcome: CounterOutcome::Timeout });
         }
     }
 
@@ -170,7 +170,7 @@
         *self.conn.borrow_mut() = None;
         let pending = std::mem::take(&mut *self.pending.borrow_mut());
         for name in pending.into_iter().filter_map(|call| call.name) {
-            caller.hear(Event::Counter { name, outcome: CounterOutcome::Timeout });
+            caller.on_counter_event(Event::Counter { name, outcome: CounterOutcome::Timeout });
         }
     }
 
@@ -205,7 +205,7 @@
                 }
                 if let Some(name) = answered.name {
                     let outcome = outcome.unwrap_or(CounterOutcome::Timeout);
-                    caller.hear(Event::Counter { name, outcome });
+                    caller.on_counter_event(Event::Counter { name, outcome });
                 }
                 if !valid {
                     return Err("reply is not a total");
--- a/crates/gatekeeper/src/driver.rs
+++ b/crates/gatekeeper/src/driver.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::counter::{Caller, Counter};
 use crate::events::Events;
-use crate::servers::side::{Attempted, Parts, Progress, Servers};
+use crate::servers::pool::{AttemptResult, Parts, Progress, Servers};
 use crate::telemetry::{End, Telemetry};
 use bytes::Bytes;
 use granitelead_decisions::{
@@ -126,9 +126,9 @@
         let clock = Clock::new();
         let settings = config.settings.clone();
         let telemetry = Rc::new(Telemetry::new(&config.names.classes));
-        let room = Room::new(config.held_max);
+        let room = Room::new(config.body_buffer_max);
         Rc::new(Driver {
-            servers: Servers::new(config, telemetry.calls(), room.clone()),
+            servers: Servers::new(config, telemetry.requests_written(), room.clone()),
             listing: Listing::new(),
             telemetry,
             room,
@@ -191,7 +191,7 @@
         if let Some(upload) = parts.upload() {
             let (driver, id) = (self.clone(), id.clone());
             upload.on_end(move || {
-                let calls = driver.telemetry.calls();
+                let calls = driver.telemetry.requests_written();
                 calls.set(calls.get() + 1);
                 driver.feed(Event::Whole(id));
             });
@@ -199,7 +199,7 @@
         let whole = parts.upload().is_none();
         let open = Open { parts, reply: Some(reply), attempts: Vec::new(), class, late: false };
         self.open.borrow_mut().insert(id.clone(), open);
-        self.telemetry.taken();
+        self.telemetry.request_started();
         let left = taken.until.saturating_duration_since(Instant::now()).saturating_sub(ANSWER_MARGIN);
         self.feed(Event::Request(Request {
             id: id.clone(),
@@ -230,7 +230,13 @@
         open.attempts.push(Some(Running { server, progress, task: task.abort_handle(), sent }));
     }
 
-    fn attempt_done(self: &Rc<Self>, id: &RequestId, n: usize, server: ServerId, attempted: &mut Attempted) {
+    fn attempt_done(
+        self: &Rc<Self>,
+        id: &RequestId,
+        n: usize,
+        server: ServerId,
+        attempted: &mut AttemptResult,
+    ) {
         let ended = self.open.borrow_mut().get_mut(id).and_then(|open| {
             open.late |= attempted.outcome == Outcome::Timeout;
             open.attempts.get_mut(n).and_then(Option::take)
@@ -256,14 +262,14 @@
     fn cancel(self: &Rc<Self>, id: &RequestId, n: usize) {
         let slot = self.open.borrow_mut().get_mut(id).and_then(|o| o.attempts.get_mut(n)?.take());
         let Some(running) = slot else { return };
-        let outcome = if running.progress.give_up() { Outcome::Cancelled } else { Outcome::NotSent };
+        let outcome = if running.progress.abort() { Outcome::Cancelled } else { Outcome::NotSent };
         running.task.abort();
         self.tell_end(id, n, outcome, running.sent, None);
     }
 
     /// Leaves a server out by hand, or puts it back; in force once this returns.
     pub fn by_hand(self: &Rc<Self>, server: ServerId, out: bool) {
-        self.servers.set_left_out(server, out);
+        self.servers.set_excluded(server, out);
         self.feed(Event::ByHand { server, out });
         self.recall_unwritten();
     }
@@ -274,7 +280,9 @@
         let mut recalled = Vec::new();
         for (id, open) in self.open.borrow().iter() {
             for (n, running) in open.attempts.iter().enumerate() {
-                if running.as_ref().is_some_and(|r| r.progress.waits() && !self.servers.takes_work(r.server))
+                if running
+                    .as_ref()
+                    .is_some_and(|r| r.progress.awaits_connection() && !self.servers.takes_work(r.server))
                 {
                     recalled.push((id.clone(), n));
                 }
@@ -292,7 +300,7 @@
         true_units: Option<f64>,
     ) {
         let closed = self.open.borrow().get(id).is_none_or(|open| open.reply.is_none());
-        if self.open.borrow().get(id).is_some_and(|open| open.parts.is_spent()) {
+        if self.open.borrow().get(id).is_some_and(|open| open.parts.is_consumed()) {
             self.feed(Event::Spent(id.clone()));
         }
         self.forget_if_over(id);
@@ -314,7 +322,7 @@
                     }
                     Answer::Served(Body::Whole(_), _) => Some(End::Served),
                     Answer::Refused(_) => Some(End::Refused),
-                    Answer::Failed { late: true } => Some(End::Late),
+                    Answer::Failed { late: true } => Some(End::DeadlineExceeded),
                     Answer::Failed { late: false } => Some(End::Failed),
                 };
                 if let Some(end) = end {
@@ -331,7 +339,7 @@
         let waits = |open: &mut Open| open.reply.take().map(|_| open.class);
         let waited = self.open.borrow_mut().get_mut(id).and_then(waits);
         if let Some(class) = waited {
-            self.telemetry.ended(class, End::Left);
+            self.telemetry.ended(class, End::ClientDisconnected);
             self.feed(Event::ClientGone(id.clone()));
             self.forget_if_over(id);
         }
@@ -350,7 +358,7 @@
         ]
         .map(|(name, value)| (name.to_owned(), value))
         .to_vec();
-        more.extend(self.servers.figures());
+        more.extend(self.servers.metrics());
         more.extend(clients);
         self.telemetry.report(&more)
     }
@@ -384,7 +392,7 @@
         &self.counter
     }
 
-    fn hear(self: &Rc<Self>, event: Event) {
+    fn on_counter_event(self: &Rc<Self>, event: Event) {
         self.feed(event);
     }
 }
--- a/crates/gatekeeper/src/events.rs
+++ b/crates/gatekeeper/src/events.rs
@@ -7,7 +7,7 @@
 /// A state change of this gatekeeper.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub enum Own<'a> {
+pub enum StateChange<'a> {
     /// The first server list of discovery has been applied.
     Ready,
     /// A version of the server list has been applied.
@@ -54,11 +54,11 @@
     }
 
     /// Writes an event.
-    pub fn says(self, what: &Own) {
+    pub fn emit(self, change: &StateChange) {
         if !self.enabled {
             return;
         }
-        if let Ok(line) = serde_json::to_string(what) {
+        if let Ok(line) = serde_json::to_string(change) {
             // Write errors are ignored: a closed standard output must not stop the gatekeeper.
             let _ = writeln!(std::io::stdout().lock(), "{line}");
         }
@@ -71,9 +71,9 @@
 
     #[test]
     fn an_event_is_serialized_with_its_name() {
-        let line = |what: &Own| serde_json::to_string(what).unwrap();
-        assert_eq!(line(&Own::List { rev: 7, epoch: 2 }), r#"{"event":"list","rev":7,"epoch":2}"#);
-        let exclusion = Own::Exclusion { server: "s-1", excluded: true };
+        let line = |what: &StateChange| serde_json::to_string(what).unwrap();
+        assert_eq!(line(&StateChange::List { rev: 7, epoch: 2 }), r#"{"event":"list","rev":7,"epoch":2}"#);
+        let exclusion = StateChange::Exclusion { server: "s-1", excluded: true };
         assert_eq!(line(&exclusion), r#"{"event":"by_hand","server":"s-1","out":true}"#);
     }
 }
--- a/crates/gatekeeper/src/lifecycle/run.rs
+++ b/crates/gatekeeper/src/lifecycle/run.rs
@@ -4,7 +4,7 @@
 use crate::clients::side::ClientSide;
 use crate::config::Config;
 use crate::driver::Driver;
-use crate::events::Own;
+use crate::events::StateChange;
 use crate::lifecycle::handover::{handover_socket, listen, Predecessor, Upgrade};
 use crate::list::{follow, ServerIds};
 use crate::operators::admin::AdminServer;
@@ -82,7 +82,7 @@
         () = side.until_left() => {}
         _ = term.recv() => {}
     }
-    driver.says.says(&Own::Stops);
+    driver.says.emit(&StateChange::Stops);
     if let Some(peers) = peers {
         peers.leaves().await;
     }
@@ -152,9 +152,9 @@
     spawn_local(follow(driver, server_ids, follower, addresses, move || {
         side.set_ready();
         let (rev, epoch) = (updated.listing.rev.get(), updated.listing.epoch.get());
-        updated.says.says(&Own::List { rev, epoch });
+        updated.says.emit(&StateChange::List { rev, epoch });
         if !ready.replace(true) {
-            updated.says.says(&Own::Ready);
+            updated.says.emit(&StateChange::Ready);
         }
     }));
     discovery
--- a/crates/gatekeeper/src/operators/admin.rs
+++ b/crates/gatekeeper/src/operators/admin.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::side::ClientSide;
 use crate::config::ADMIN_CONNECTIONS_MAX;
-use crate::events::Own;
+use crate::events::StateChange;
 use crate::operators::exclusions::Exclusions;
 use crate::peers::Peers;
 use granitelead_base::{note, ACCEPT_PAUSE};
@@ -146,12 +146,12 @@
             Command::Exclude(_) | Command::Include(_) => "NO never listed\n".into(),
             Command::Evacuate => {
                 self.side.evacuate();
-                self.exclusions.driver.says.says(&Own::Evacuates);
+                self.exclusions.driver.says.emit(&StateChange::Evacuates);
                 "YES\n".into()
             }
             Command::Activate => {
                 self.side.activate();
-                self.exclusions.driver.says.says(&Own::Activates);
+                self.exclusions.driver.says.emit(&StateChange::Activates);
                 "YES\n".into()
             }
         }
--- a/crates/gatekeeper/src/operators/exclusions.rs
+++ b/crates/gatekeeper/src/operators/exclusions.rs
@@ -2,7 +2,7 @@
 //! process of this gatekeeper.
 
 use crate::driver::Driver;
-use crate::events::Own;
+use crate::events::StateChange;
 use crate::list::ServerIds;
 use granitelead_base::note;
 use std::cell::{Cell, RefCell};
@@ -44,7 +44,7 @@
         };
         self.driver.by_hand(id, excluded);
         if changed {
-            self.driver.says.says(&Own::Exclusion { server: uid, excluded });
+            self.driver.says.emit(&StateChange::Exclusion { server: uid, excluded });
             eprintln!("granitelead: {uid} {}", if excluded { "excluded" } else { "included" });
             if let Err(e) = self.save() {
                 note(
--- a/crates/gatekeeper/src/peers.rs
+++ b/crates/gatekeeper/src/peers.rs
@@ -2,7 +2,7 @@
 //! configured.
 
 use crate::config::PeersConfig;
-use crate::events::{Events, Own};
+use crate::events::{Events, StateChange};
 use granitelead_base::ACCEPT_PAUSE;
 use granitelead_members::envelope::{Dropped, DATAGRAM_MAX};
 use granitelead_members::{Id, Members};
@@ -43,12 +43,12 @@
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let me = Id { number: config.me, start: unix.as_millis() as u64 };
         let mut rng = fastrand::Rng::with_seed(seed);
-        let of = config.places.len() as u16;
+        let of = config.addresses.len() as u16;
         let first: Vec<u16> = (0..FIRST).map(|_| rng.u16(0..of)).collect();
         let members = Members::new(0, me, of, &config.fleet, seed, &first);
         Ok(Rc::new(Peers {
             socket,
-            places: config.places.clone(),
+            places: config.addresses.clone(),
             members: RefCell::new(members),
             begun: Instant::now(),
             second: Cell::default(),
@@ -102,7 +102,7 @@
             (members.sends(), members.changes())
         };
         for (gatekeeper, alive) in changes {
-            self.events.says(&Own::Member { gatekeeper, alive });
+            self.events.emit(&StateChange::Member { gatekeeper, alive });
         }
         for (to, datagram) in sends {
             let second = self.begun.elapsed().as_secs();
--- a/crates/gatekeeper/src/servers/side.rs
+++ b/crates/gatekeeper/src/servers/pool.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns whether a part of the body has been consumed and cannot be sent again.
-    pub fn is_spent(&self) -> bool {
+    pub fn is_consumed(&self) -> bool {
         self.upload().is_some_and(|upload| upload.is_spent())
     }
 }
@@ -69,7 +69,7 @@
 }
 
 /// The result of an attempt.
-pub struct Attempted {
+pub struct AttemptResult {
     /// How the attempt ended.
     pub outcome: Outcome,
     /// The actual cost of the request in units, if the server reported it.
@@ -80,16 +80,16 @@
     conn: Option<Conn>,
 }
 
-impl Attempted {
+impl AttemptResult {
     /// Splits off the connection, which is given back once the response body has been received.
-    pub fn connection(&mut self) -> Attempted {
-        Attempted { conn: self.conn.take(), ..Attempted::from(self.outcome) }
+    pub fn connection(&mut self) -> AttemptResult {
+        AttemptResult { conn: self.conn.take(), ..AttemptResult::from(self.outcome) }
     }
 }
 
-impl From<Outcome> for Attempted {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Attempted { outcome, true_units: None, served: None, conn: None }
+        AttemptResult { outcome, true_units: None, served: None, conn: None }
     }
 }
 
@@ -109,13 +109,13 @@
 
 impl Progress {
     /// Returns whether the attempt is still waiting for a connection.
-    pub fn waits(&self) -> bool {
+    pub fn awaits_connection(&self) -> bool {
         self.wire.borrow().is_none()
     }
 
     /// Closes the attempt's connection immediately. Returns whether a server may have received the whole
     /// request.
-    pub fn give_up(&self) -> bool {
+    pub fn abort(&self) -> bool {
         match self.wire.borrow_mut().take() {
             None => false,
             Some((wire, completion)) => {
@@ -310,7 +310,7 @@
     }
 
     /// Excludes a server or includes it again.
-    pub fn set_left_out(&self, id: ServerId, excluded: bool) {
+    pub fn set_excluded(&self, id: ServerId, excluded: bool) {
         if !excluded {
             self.excluded.borrow_mut().remove(&id);
         } else if self.excluded.borrow_mut().insert(id) {
@@ -338,7 +338,7 @@
     }
 
     /// Returns the metrics of connections to servers.
-    pub fn figures(&self) -> Vec<(String, u64)> {
+    pub fn metrics(&self) -> Vec<(String, u64)> {
         let idle: usize = self.pools.borrow().values().map(|pool| pool.idle.len()).sum();
         let DialMetrics { started, failed, waited, rejected } = self.dials.borrow().metrics;
         [
@@ -360,10 +360,10 @@
         parts: &Parts,
         time: Duration,
         progress: &Progress,
-    ) -> Attempted {
+    ) -> AttemptResult {
         let deadline = Instant::now() + time;
         loop {
-            if parts.is_spent() {
+            if parts.is_consumed() {
                 return Outcome::NotSent.into();
             }
             let mut conn = match self.acquire(server, deadline).await {
@@ -386,7 +386,7 @@
             if let Some(Ok(response)) = ended {
                 return self.classify(response, conn);
             }
-            let (used, written) = (conn.used, progress.give_up());
+            let (used, written) = (conn.used, progress.abort());
             if conn.wire.is_silent() {
                 // The other connections lead to the same unresponsive machine.
                 self.pools.borrow_mut().entry(server).and_modify(|pool| pool.idle.clear());
@@ -395,7 +395,7 @@
             match ended {
                 // A reused connection was closed by the server before the request was completely written:
                 // this does not count as an attempt.
-                Some(Err(_)) if used && !written && !parts.is_spent() => continue,
+                Some(Err(_)) if used && !written && !parts.is_consumed() => continue,
                 _ if !written => return Outcome::ConnectFailed.into(),
                 Some(Err(Broken::TooLong)) => {
                     note(&self.event_count, format_args!("server {}: response too large", server.0));
@@ -408,7 +408,7 @@
     }
 
     /// Returns the connection of an attempt to the pool once it is ready for another request.
-    pub async fn give_back(self: &Rc<Self>, server: ServerId, attempted: Attempted) {
+    pub async fn give_back(self: &Rc<Self>, server: ServerId, attempted: AttemptResult) {
         let Some(mut conn) = attempted.conn else {
             // A connection was closed, which may make capacity for another.
             return self.dial_for_waiters();
@@ -582,7 +582,7 @@
     }
 
     /// Derives the result of an attempt from a complete response.
-    fn classify(&self, (status, headers, body): ServerResponse, conn: Conn) -> Attempted {
+    fn classify(&self, (status, headers, body): ServerResponse, conn: Conn) -> AttemptResult {
         let not_started = headers.get("not-started").is_some_and(|value| value == "1");
         let outcome = match status {
             StatusCode::OK => Outcome::Ok,
@@ -593,7 +593,7 @@
         let good = outcome == Outcome::Ok;
         let served = good.then(|| Served { body, content_type: headers.get(CONTENT_TYPE).cloned() });
         let true_units = headers.get("x-cost-units").filter(|_| good).and_then(|v| decimal(v.to_str().ok()?));
-        Attempted { outcome, true_units, served, conn: Some(conn) }
+        AttemptResult { outcome, true_units, served, conn: Some(conn) }
     }
 }
 
--- a/crates/gatekeeper/src/telemetry.rs
+++ b/crates/gatekeeper/src/telemetry.rs
@@ -12,11 +12,11 @@
     /// Rejected.
     Refused,
     /// Its deadline passed without a response.
-    Late,
+    DeadlineExceeded,
     /// Failed for another reason.
     Failed,
     /// The client disconnected before the response.
-    Left,
+    ClientDisconnected,
 }
 
 /// Number of requests by how they have ended.
@@ -38,18 +38,18 @@
 pub struct Telemetry {
     classes: Vec<(String, Cell<Ended>)>,
     inflight: Cell<u64>,
-    calls: Rc<Cell<u64>>,
+    requests_written: Rc<Cell<u64>>,
 }
 
 impl Telemetry {
     /// Creates counters at 0 for classes with these names.
     pub fn new(classes: &[String]) -> Telemetry {
         let classes = classes.iter().map(|name| (name.clone(), Cell::default())).collect();
-        Telemetry { classes, inflight: Cell::new(0), calls: Rc::default() }
+        Telemetry { classes, inflight: Cell::new(0), requests_written: Rc::default() }
     }
 
     /// Counts a request as in flight.
-    pub fn taken(&self) {
+    pub fn request_started(&self) {
         self.inflight.set(self.inflight.get() + 1);
     }
 
@@ -61,17 +61,17 @@
         *match end {
             End::Served => &mut ended.served,
             End::Refused => &mut ended.refused,
-            End::Late => &mut ended.late,
+            End::DeadlineExceeded => &mut ended.late,
             End::Failed => &mut ended.failed,
-            End::Left => &mut ended.left,
+            End::ClientDisconnected => &mut ended.left,
         } += 1;
         counts.set(ended);
     }
 
     /// Returns the counter of attempts whose request was written completely, for the code that writes the
     /// last byte.
-    pub fn calls(&self) -> Rc<Cell<u64>> {
-        self.calls.clone()
+    pub fn requests_written(&self) -> Rc<Cell<u64>> {
+        self.requests_written.clone()
     }
 
     /// Returns the number of requests in flight.
@@ -102,7 +102,7 @@
                 let _ = writeln!(text, "app_{metric}{{tier=\"{name}\"}} {count}");
             }
         }
-        let single = [("backend_calls", self.calls.get()), ("inflight", self.inflight.get())];
+        let single = [("backend_calls", self.requests_written.get()), ("inflight", self.inflight.get())];
         let more = more.iter().map(|(metric, value)| (metric.as_str(), *value));
         for (metric, value) in single.into_iter().chain(more) {
             let _ = writeln!(text, "app_{metric} {value}");
@@ -129,11 +129,11 @@
     #[test]
     fn each_ended_request_is_counted_once_under_its_class() {
         let telemetry = Telemetry::new(&["a".into(), "b".into()]);
-        for end in [End::Served, End::Refused, End::Late, End::Failed, End::Left] {
-            telemetry.taken();
+        for end in [End::Served, End::Refused, End::DeadlineExceeded, End::Failed, End::ClientDisconnected] {
+            telemetry.request_started();
             telemetry.ended(1, end);
         }
-        telemetry.taken();
+        telemetry.request_started();
         let report = telemetry.report(&[("hosts_listed".into(), 4), ("hosts_down".into(), 2)]);
         for line in [
             "app_success{tier=\"a\"} 0",
