--- a/crates/gatekeeper/src/counter.rs
+++ b/crates/gatekeeper/src/counter.rs
@@ -1,7 +1,7 @@
 //! Client of the counter service: pipelined calls over one connection; replies are matched to calls in order.
 
 use bytes::BytesMut;
-use granitelead_base::{note, Backoff};
+use granitelead_base::{log_throttled, Backoff};
 use granitelead_decisions::{CounterName, CounterOutcome, Event, Micros};
 use redis_protocol::resp2::decode::decode_bytes_mut;
 use redis_protocol::resp2::types::BytesFrame;
@@ -153,7 +153,7 @@
                 let (reader, writer) = stream.into_split();
                 *self.conn.borrow_mut() = Some(writer);
                 if let Err(what) = self.read(caller, reader, &mut served).await {
-                    note(&self.event_count, format_args!("counter: {what}"));
+                    log_throttled(&self.event_count, format_args!("counter: {what}"));
                 }
                 self.disconnect(caller);
             }
--- a/crates/gatekeeper/src/lifecycle/handover.rs
+++ b/crates/gatekeeper/src/lifecycle/handover.rs
@@ -5,7 +5,7 @@
 use crate::driver::Driver;
 use crate::list::ServerIds;
 use crate::operators::exclusions::Exclusions;
-use granitelead_base::note;
+use granitelead_base::log_throttled;
 use granitelead_decisions::{Handover, ServerId};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -237,7 +237,7 @@
                 Err(e) => Err(e),
             };
             if let Err(e) = result {
-                note(&self.event_count, format_args!("handover failed: {e}"));
+                log_throttled(&self.event_count, format_args!("handover failed: {e}"));
                 tokio::time::sleep(REPORT_INTERVAL).await;
             }
         }
--- a/crates/gatekeeper/src/list.rs
+++ b/crates/gatekeeper/src/list.rs
@@ -2,11 +2,11 @@
 //! the `uid` of each server to its internal id.
 
 use crate::driver::Driver;
-use granitelead_base::note;
+use granitelead_base::log_throttled;
 use granitelead_decisions::hash;
 use granitelead_decisions::{Availability, Event, ListScope, ServerId, ServerInfo, ServerList, Zone};
 use granitelead_list::follower::Follower;
-use granitelead_list::forms::{HostList, Target};
+use granitelead_list::messages::{HostList, Target};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -77,7 +77,7 @@
             }
             parsed => {
                 if parsed.is_err() && availability != Availability::Gone {
-                    note(
+                    log_throttled(
                         &self.event_count,
                         format_args!("discovery: server {:?} has an invalid endpoint", target.uid),
                     );
--- a/crates/gatekeeper/src/operators/admin.rs
+++ b/crates/gatekeeper/src/operators/admin.rs
@@ -5,7 +5,7 @@
 use crate::events::StateChange;
 use crate::operators::exclusions::Exclusions;
 use crate::peers::Peers;
-use granitelead_base::{note, ACCEPT_PAUSE};
+use granitelead_base::{log_throttled, ACCEPT_PAUSE};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -81,7 +81,7 @@
             match listener.accept().await {
                 Ok((stream, _)) => self.admit(stream),
                 Err(e) => {
-                    note(&self.event_count, format_args!("admin socket: accept failed: {e}"));
+                    log_throttled(&self.event_count, format_args!("admin socket: accept failed: {e}"));
                     self.side.shed();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
--- a/crates/gatekeeper/src/operators/exclusions.rs
+++ b/crates/gatekeeper/src/operators/exclusions.rs
@@ -4,7 +4,7 @@
 use crate::driver::Driver;
 use crate::events::StateChange;
 use crate::list::ServerIds;
-use granitelead_base::note;
+use granitelead_base::log_throttled;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::io;
@@ -47,7 +47,7 @@
             self.driver.says.emit(&StateChange::Exclusion { server: uid, excluded });
             eprintln!("granitelead: {uid} {}", if excluded { "excluded" } else { "included" });
             if let Err(e) = self.save() {
-                note(
+                log_throttled(
                     &self.event_count,
                     format_args!("exclusions not saved, lost when this process ends: {e}"),
                 );
@@ -74,7 +74,7 @@
                 saved.difference(&names).for_each(|uid| self.driver.by_hand(self.server_ids.id(uid), true));
             }
             Err(e) if e.kind() == io::ErrorKind::NotFound => {}
-            Err(e) => note(&self.event_count, format_args!("{}: {e}", path.display())),
+            Err(e) => log_throttled(&self.event_count, format_args!("{}: {e}", path.display())),
         }
     }
 }
--- a/crates/gatekeeper/src/servers/pool.rs
+++ b/crates/gatekeeper/src/servers/pool.rs
@@ -5,8 +5,8 @@
 use crate::config::Config;
 use crate::servers::dial_queue::{DialDecision, DialMetrics, DialQueue};
 use crate::times::{FLOW_STALL, SERVER_ACK};
-use granitelead_base::wire::{Place, Wire, WireIo};
-use granitelead_base::{decimal, note};
+use granitelead_base::connection::{ConnectionHandle, ConnectionIo, Slot};
+use granitelead_base::{log_throttled, parse_positive_decimal};
 use granitelead_decisions::{Outcome, ServerId};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -96,7 +96,7 @@
 /// Progress of an attempt, for code that may cancel it.
 #[derive(Default)]
 pub struct Progress {
-    wire: RefCell<Option<(Rc<Wire>, WriteCompletion)>>,
+    handle: RefCell<Option<(Rc<ConnectionHandle>, WriteCompletion)>>,
 }
 
 /// Condition under which a request counts as completely written.
@@ -110,18 +110,18 @@
 impl Progress {
     /// Returns whether the attempt is still waiting for a connection.
     pub fn awaits_connection(&self) -> bool {
-        self.wire.borrow().is_none()
+        self.handle.borrow().is_none()
     }
 
     /// Closes the attempt's connection immediately. Returns whether a server may have received the whole
     /// request.
     pub fn abort(&self) -> bool {
-        match self.wire.borrow_mut().take() {
+        match self.handle.borrow_mut().take() {
             None => false,
-            Some((wire, completion)) => {
-                wire.close();
+            Some((handle, completion)) => {
+                handle.close();
                 match completion {
-                    WriteCompletion::BytesWritten(threshold) => wire.written() >= threshold,
+                    WriteCompletion::BytesWritten(threshold) => handle.bytes_written() >= threshold,
                     WriteCompletion::Upload(upload) => upload.ended().is_some(),
                 }
             }
@@ -129,34 +129,34 @@
     }
 
     /// Records the connection of the attempt; from here on the request may be written.
-    fn begin(&self, wire: &Rc<Wire>, parts: &Parts) {
+    fn begin(&self, handle: &Rc<ConnectionHandle>, parts: &Parts) {
         let completion = match parts.upload() {
             Some(upload) => WriteCompletion::Upload(upload.clone()),
             None => {
-                let threshold = wire.written() + 1 + parts.body.held.len() as u64;
-                wire.expect(threshold);
+                let threshold = handle.bytes_written() + 1 + parts.body.held.len() as u64;
+                handle.expect_request_end(threshold);
                 WriteCompletion::BytesWritten(threshold)
             }
         };
-        *self.wire.borrow_mut() = Some((wire.clone(), completion));
+        *self.handle.borrow_mut() = Some((handle.clone(), completion));
     }
 }
 
 /// An established HTTP connection to a server.
 struct Conn {
     sender: SendRequest<Outgoing>,
-    wire: Rc<Wire>,
+    handle: Rc<ConnectionHandle>,
     idle_since: Instant,
     used: bool,
     /// Current TCP user timeout: how long the server may leave data unacknowledged.
     ack_timeout: Duration,
     /// The connection's slot in the limit of its server.
-    _server_slot: Place,
+    _server_slot: Slot,
 }
 
 impl Drop for Conn {
     fn drop(&mut self) {
-        self.wire.close();
+        self.handle.close();
     }
 }
 
@@ -376,9 +376,9 @@
             }
             let ack_timeout = if parts.upload().is_some() { FLOW_STALL } else { SERVER_ACK };
             if std::mem::replace(&mut conn.ack_timeout, ack_timeout) != ack_timeout {
-                conn.wire.set_user_timeout(ack_timeout, &self.socket_option_errors);
+                conn.handle.set_user_timeout(ack_timeout, &self.socket_option_errors);
             }
-            progress.begin(&conn.wire, parts);
+            progress.begin(&conn.handle, parts);
             let ended = tokio::select! {
                 ended = exchange(&mut conn.sender, parts, deadline, &self.buffer_budget) => Some(ended),
                 () = expired(parts, deadline, time) => None,
@@ -387,7 +387,7 @@
                 return self.classify(response, conn);
             }
             let (used, written) = (conn.used, progress.abort());
-            if conn.wire.is_silent() {
+            if conn.handle.has_timed_out() {
                 // The other connections lead to the same unresponsive machine.
                 self.pools.borrow_mut().entry(server).and_modify(|pool| pool.idle.clear());
             }
@@ -398,7 +398,7 @@
                 Some(Err(_)) if used && !written && !parts.is_consumed() => continue,
                 _ if !written => return Outcome::ConnectFailed.into(),
                 Some(Err(Broken::TooLong)) => {
-                    note(&self.event_count, format_args!("server {}: response too large", server.0));
+                    log_throttled(&self.event_count, format_args!("server {}: response too large", server.0));
                     return Outcome::Error.into();
                 }
                 Some(_) => return Outcome::Reset.into(),
@@ -501,7 +501,7 @@
     /// Dials a connection in the background, for the oldest waiter at the time when it is established.
     fn spawn_dial(self: &Rc<Self>, server: ServerId) {
         let server_slot =
-            self.pools.borrow().get(&server).and_then(|pool| Place::take(&pool.open, self.per_server));
+            self.pools.borrow().get(&server).and_then(|pool| Slot::acquire(&pool.open, self.per_server));
         let this = self.clone();
         tokio::task::spawn_local(async move {
             let dialed = this.dial(server, server_slot).await;
@@ -539,16 +539,16 @@
         self.pools.borrow().get(&server).is_some_and(|pool| pool.open.get() < self.per_server)
     }
 
-    async fn dial(&self, server: ServerId, server_slot: Option<Place>) -> Result<Conn, DialError> {
+    async fn dial(&self, server: ServerId, server_slot: Option<Slot>) -> Result<Conn, DialError> {
         let (addr, boot_ms) = {
             let pools = self.pools.borrow();
             let pool = pools.get(&server).ok_or(DialError::NoCapacity)?;
             (pool.addr, pool.boot_ms)
         };
         let server_slot = server_slot.ok_or(DialError::NoCapacity)?;
-        let slot = Place::take(&self.open, self.max_connections.get()).or_else(|| {
+        let slot = Slot::acquire(&self.open, self.max_connections.get()).or_else(|| {
             self.close_oldest_idle();
-            Place::take(&self.open, self.max_connections.get())
+            Slot::acquire(&self.open, self.max_connections.get())
         });
         let slot = slot.ok_or(DialError::NoCapacity)?;
         let connected = timeout(self.connect_timeout, TcpStream::connect(addr)).await;
@@ -559,17 +559,17 @@
             return Err(DialError::NoCapacity);
         }
         let _ = stream.set_nodelay(true);
-        let wire = Wire::counting(stream, slot, self.requests_written.clone());
-        let io = TokioIo::new(WireIo(wire.clone()));
+        let handle = ConnectionHandle::with_request_counter(stream, slot, self.requests_written.clone());
+        let io = TokioIo::new(ConnectionIo(handle.clone()));
         let built = http1::Builder::new().max_buf_size(BUFFER_MAX).handshake(io).await;
         let (sender, driver) = built.map_err(|_| DialError::Unreachable)?;
         let task = tokio::task::spawn_local(async move {
             // The attempt that uses the connection gets the error through its sender.
             let _ = driver.await;
         });
-        wire.driven_by(task.abort_handle());
+        handle.set_driver(task.abort_handle());
         let (idle_since, ack_timeout) = (Instant::now(), Duration::ZERO);
-        Ok(Conn { sender, wire, idle_since, used: false, ack_timeout, _server_slot: server_slot })
+        Ok(Conn { sender, handle, idle_since, used: false, ack_timeout, _server_slot: server_slot })
     }
 
     fn close_oldest_idle(&self) {
@@ -592,7 +592,10 @@
         };
         let good = outcome == Outcome::Ok;
         let served = good.then(|| Served { body, content_type: headers.get(CONTENT_TYPE).cloned() });
-        let true_units = headers.get("x-cost-units").filter(|_| good).and_then(|v| decimal(v.to_str().ok()?));
+        let true_units = headers
+            .get("x-cost-units")
+            .filter(|_| good)
+            .and_then(|v| parse_positive_decimal(v.to_str().ok()?));
         AttemptResult { outcome, true_units, served, conn: Some(conn) }
     }
 }
--- a/crates/members/src/id.rs
+++ b/crates/members/src/id.rs
@@ -1,29 +1,29 @@
-//! Who a gatekeeper's process is.
+//! Identity of a gatekeeper process.
 
 use foca::Identity;
 
-/// One process of a gatekeeper: its number in the fleet, and when it started, Unix time in ms. Of two with the same number
-/// the one that started later is believed.
+/// One incarnation of a gatekeeper: its number in the fleet and the start time of its process. Of two
+/// processes with the same number the one that started later wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Id {
-    /// Its number, from 0.
+pub struct MemberId {
+    /// Number of the gatekeeper, counted from 0.
     pub number: u16,
-    /// When it started.
+    /// Start time of the process, Unix time in ms.
     pub start: u64,
 }
 
-impl Identity for Id {
+impl Identity for MemberId {
     type Addr = u16;
 
-    fn renew(&self) -> Option<Id> {
-        Some(Id { start: self.start + 1, ..*self })
+    fn renew(&self) -> Option<MemberId> {
+        Some(MemberId { start: self.start + 1, ..*self })
     }
 
     fn addr(&self) -> u16 {
         self.number
     }
 
-    fn win_addr_conflict(&self, other: &Id) -> bool {
+    fn win_addr_conflict(&self, other: &MemberId) -> bool {
         self.start > other.start
     }
 }
