--- a/crates/gatekeeper/src/body.rs
+++ b/crates/gatekeeper/src/body.rs
@@ -343,7 +343,7 @@
 impl EndRecorder {
     /// Counts the client as disconnected unless another end is set.
     pub fn new(telemetry: Rc<Telemetry>, class: usize) -> EndRecorder {
-        EndRecorder { telemetry, class, end: Cell::new(End::Left) }
+        EndRecorder { telemetry, class, end: Cell::new(End::ClientDisconnected) }
     }
 }
 
--- a/crates/gatekeeper/src/clients/http_server.rs
+++ b/crates/gatekeeper/src/clients/http_server.rs
@@ -6,7 +6,7 @@
 use crate::clients::framing::Framing;
 use crate::config::Config;
 use crate::driver::{self, Answer, ClientRequest, Driver};
-use crate::servers::side::Parts;
+use crate::servers::pool::Parts;
 use crate::timeouts;
 use bytes::Bytes;
 use granitelead_base::linger::Linger;
--- a/crates/gatekeeper/src/driver.rs
+++ b/crates/gatekeeper/src/driver.rs
@@ -5,7 +5,7 @@
 use crate::config::Config;
 use crate::counter::{Caller, Counter};
 use crate::events::Events;
-use crate::servers::side::{Attempted, Parts, Progress, Servers};
+use crate::servers::pool::{AttemptResult, Parts, Progress, Servers};
 use crate::telemetry::{End, Telemetry};
 use bytes::Bytes;
 use granitelead_decisions::{
@@ -128,9 +128,9 @@
         let clock = Clock::new();
         let settings = config.settings.clone();
         let telemetry = Rc::new(Telemetry::new(&config.names.classes));
-        let buffer_budget = BufferBudget::new(config.held_max);
+        let buffer_budget = BufferBudget::new(config.body_buffer_max);
         Rc::new(Driver {
-            servers: Servers::new(config, telemetry.calls(), buffer_budget.clone()),
+            servers: Servers::new(config, telemetry.requests_written(), buffer_budget.clone()),
             listing: ListStatus::new(),
             telemetry,
             buffer_budget,
@@ -197,7 +197,7 @@
         if let Some(upload) = parts.upload() {
             let (driver, id) = (self.clone(), id.clone());
             upload.on_end(move || {
-                let calls = driver.telemetry.calls();
+                let calls = driver.telemetry.requests_written();
                 calls.set(calls.get() + 1);
                 driver.feed(Event::Whole(id));
             });
@@ -205,7 +205,7 @@
         let whole = parts.upload().is_none();
         let pending = PendingRequest { parts, reply: Some(reply), attempts: Vec::new(), class, late: false };
         self.pending.borrow_mut().insert(id.clone(), pending);
-        self.telemetry.taken();
+        self.telemetry.request_started();
         let time_left =
             client_request.until.saturating_duration_since(Instant::now()).saturating_sub(ANSWER_MARGIN);
         self.feed(Event::Request(Request {
@@ -237,7 +237,13 @@
         pending.attempts.push(Some(RunningAttempt { server, progress, task: task.abort_handle(), sent }));
     }
 
-    fn attempt_done(self: &Rc<Self>, id: &RequestId, n: usize, server: ServerId, attempted: &mut Attempted) {
+    fn attempt_done(
+        self: &Rc<Self>,
+        id: &RequestId,
+        n: usize,
+        server: ServerId,
+        attempted: &mut AttemptResult,
+    ) {
         let ended = self.pending.borrow_mut().get_mut(id).and_then(|pending| {
             pending.late |= attempted.outcome == Outcome::Timeout;
             pending.attempts.get_mut(n).and_then(Option::take)
@@ -263,14 +269,14 @@
     fn cancel(self: &Rc<Self>, id: &RequestId, n: usize) {
         let slot = self.pending.borrow_mut().get_mut(id).and_then(|o| o.attempts.get_mut(n)?.take());
         let Some(running) = slot else { return };
-        let outcome = if running.progress.give_up() { Outcome::Cancelled } else { Outcome::NotSent };
+        let outcome = if running.progress.abort() { Outcome::Cancelled } else { Outcome::NotSent };
         running.task.abort();
         self.report_attempt_end(id, n, outcome, running.sent, None);
     }
 
     /// Excludes a server by an operator's call, or includes it again; in effect once this returns.
     pub fn set_excluded(self: &Rc<Self>, server: ServerId, excluded: bool) {
-        self.servers.set_left_out(server, excluded);
+        self.servers.set_excluded(server, excluded);
         self.feed(Event::ByHand { server, out: excluded });
         self.cancel_unsent();
     }
@@ -281,7 +287,9 @@
         let mut cancelled = Vec::new();
         for (id, pending) in self.pending.borrow().iter() {
             for (n, running) in pending.attempts.iter().enumerate() {
-                if running.as_ref().is_some_and(|r| r.progress.waits() && !self.servers.takes_work(r.server))
+                if running
+                    .as_ref()
+                    .is_some_and(|r| r.progress.awaits_connection() && !self.servers.takes_work(r.server))
                 {
                     cancelled.push((id.clone(), n));
                 }
@@ -299,7 +307,7 @@
         true_units: Option<f64>,
     ) {
         let closed = self.pending.borrow().get(id).is_none_or(|pending| pending.reply.is_none());
-        if self.pending.borrow().get(id).is_some_and(|pending| pending.parts.is_spent()) {
+        if self.pending.borrow().get(id).is_some_and(|pending| pending.parts.is_consumed()) {
             self.feed(Event::Spent(id.clone()));
         }
         self.remove_if_complete(id);
@@ -321,7 +329,7 @@
                     }
                     Answer::Served(Body::Complete(_), _) => Some(End::Served),
                     Answer::Refused(_) => Some(End::Refused),
-                    Answer::Failed { late: true } => Some(End::Late),
+                    Answer::Failed { late: true } => Some(End::DeadlineExceeded),
                     Answer::Failed { late: false } => Some(End::Failed),
                 };
                 if let Some(end) = end {
@@ -338,7 +346,7 @@
         let take_waiting = |pending: &mut PendingRequest| pending.reply.take().map(|_| pending.class);
         let was_waiting = self.pending.borrow_mut().get_mut(id).and_then(take_waiting);
         if let Some(class) = was_waiting {
-            self.telemetry.ended(class, End::Left);
+            self.telemetry.ended(class, End::ClientDisconnected);
             self.feed(Event::ClientGone(id.clone()));
             self.remove_if_complete(id);
         }
@@ -357,7 +365,7 @@
         ]
         .map(|(name, value)| (name.to_owned(), value))
         .to_vec();
-        metrics.extend(self.servers.figures());
+        metrics.extend(self.servers.metrics());
         metrics.extend(clients);
         self.telemetry.report(&metrics)
     }
@@ -391,7 +399,7 @@
         &self.counter
     }
 
-    fn hear(self: &Rc<Self>, event: Event) {
+    fn on_counter_event(self: &Rc<Self>, event: Event) {
         self.feed(event);
     }
 }
--- a/crates/gatekeeper/src/lib.rs
+++ b/crates/gatekeeper/src/lib.rs
@@ -4,7 +4,7 @@
 //! A module imports only modules that follow it in this list: `lifecycle` (start, reload, upgrade, stop),
 //! `operators`, `clients` and `list` (sources of events), `driver` (the decision logic), `peers`
 //! (membership), `servers` and `counter` (performing actions), `body`, `telemetry`, `config`, `events`,
-//! `times`.
+//! `timeouts`.
 
 pub mod body;
 pub mod clients;
--- a/crates/gatekeeper/src/peers.rs
+++ b/crates/gatekeeper/src/peers.rs
@@ -2,7 +2,7 @@
 //! Only used if `membership` is configured.
 
 use crate::config::PeersConfig;
-use crate::events::{Events, Own};
+use crate::events::{Events, StateChange};
 use granitelead_base::ACCEPT_PAUSE;
 use granitelead_members::envelope::{DropReason, DATAGRAM_MAX};
 use granitelead_members::{MemberId, Membership};
@@ -43,12 +43,12 @@
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let me = MemberId { number: config.me, start: unix.as_millis() as u64 };
         let mut rng = fastrand::Rng::with_seed(seed);
-        let gatekeepers = config.places.len() as u16;
+        let gatekeepers = config.addresses.len() as u16;
         let initial: Vec<u16> = (0..INITIAL_CONTACTS).map(|_| rng.u16(0..gatekeepers)).collect();
         let members = Membership::new(0, me, gatekeepers, &config.fleet, seed, &initial);
         Ok(Rc::new(Peers {
             socket,
-            addresses: config.places.clone(),
+            addresses: config.addresses.clone(),
             members: RefCell::new(members),
             started: Instant::now(),
             second: Cell::default(),
@@ -102,7 +102,7 @@
             (members.take_outgoing(), members.take_changes())
         };
         for (gatekeeper, alive) in changes {
-            self.events.says(&Own::Member { gatekeeper, alive });
+            self.events.emit(&StateChange::Member { gatekeeper, alive });
         }
         for (to, datagram) in sends {
             let second = self.started.elapsed().as_secs();
