--- a/crates/gatekeeper/src/clients/connections.rs
+++ b/crates/gatekeeper/src/clients/connections.rs
@@ -344,7 +344,8 @@
 
     /// Returns the connections to close in favour of waiting ones: for each of these the cheapest to lose, of
     /// the source with most connections that has an evictable one and no fewer connections than the waiting
-    /// one's. To be called for each new connection, and every [`timeouts::EVICTION_INTERVAL`] while any waits.
+    /// one's. To be called for each new connection, and every [`timeouts::EVICTION_INTERVAL`] while any
+    /// waits.
     pub fn evict_for_waiting(&mut self, now: Instant) -> Vec<u64> {
         let stalled = self.connections.values().filter(|conn| conn.is_stalled(now)).count();
         if 2 * stalled >= self.limits.all {
