--- a/crates/marker/src/calls.rs
+++ b/crates/marker/src/calls.rs
@@ -1,4 +1,5 @@
-//! Calls of servers and operators, each declared beside what takes it, and how they come over HTTP.
+//! HTTP interface for servers and operators: the routes, parsing of requests into calls, and encoding of
+//! replies.
 
 use crate::parts::Reply;
 use crate::state::Call;
@@ -12,103 +13,104 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Largest body of a server's call, bytes.
+/// Maximum body of a server's call, bytes.
 const SERVER_BODY_MAX: usize = 64 << 10;
-/// Time for a body to come.
-const BODY_TIME: Duration = Duration::from_secs(10);
-/// When to come back after a call that could not be answered, s.
-const COME_BACK: &str = "0.3";
+/// Time limit for receiving a body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// The `Retry-After` of calls that could not be answered, s.
+const RETRY_AFTER_S: &str = "0.3";
 
-/// One call.
+/// The route of one call.
 pub struct Declared {
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// Its path; with a slash at the end a name follows.
+    /// The path; if it ends with a slash, an instance name follows.
     pub path: &'static str,
-    /// Largest body, bytes.
+    /// Maximum body, bytes.
     pub body_max: usize,
-    /// What it is for.
+    /// A description of the call.
     pub about: &'static str,
-    /// What takes it: the name and the body.
-    take: fn(String, Vec<u8>) -> Call,
+    /// Builds the call from the name and the body.
+    build: fn(String, Vec<u8>) -> Call,
 }
 
-/// All calls.
+/// The routes of all calls.
 pub const CALLS: [Declared; 5] = [
     Declared {
         method: Method::POST,
         path: "/Instances.Heartbeat/",
         body_max: SERVER_BODY_MAX,
-        about: "a server is there, or will leave",
-        take: |id, body| Call::Beat { id, body },
+        about: "heartbeat of a server that is ready or draining",
+        build: |id, body| Call::Beat { id, body },
     },
     Declared {
         method: Method::POST,
         path: "/Instances.Deregister/",
         body_max: SERVER_BODY_MAX,
-        about: "a server ends",
-        take: |id, _| Call::Leave { id },
+        about: "deregistration of a server",
+        build: |id, _| Call::Leave { id },
     },
     Declared {
         method: Method::POST,
         path: "/Configuration.Replace",
         body_max: BODY_MAX,
-        about: "a whole configuration; the highest version holds",
-        take: |_, body| Call::Replace { body },
+        about: "replaces the whole configuration; the highest version wins",
+        build: |_, body| Call::Replace { body },
     },
     Declared {
         method: Method::GET,
         path: "/Configuration.Read",
         body_max: 0,
-        about: "the newest configuration, as it was sent",
-        take: |_, _| Call::Read,
+        about: "the newest configuration, byte for byte as it was sent",
+        build: |_, _| Call::Read,
     },
     Declared {
         method: Method::GET,
         path: "/System.Status",
         body_max: 0,
-        about: "how things are, as this marker sees them",
-        take: |_, _| Call::Status,
+        about: "the state of the system as this marker sees it",
+        build: |_, _| Call::Status,
     },
 ];
 
-/// Which call a request is.
+/// Finds the route of a request, and the name at the end of its path.
 fn find(method: &Method, path: &str) -> Option<(&'static Declared, String)> {
-    // The list's order and names are fixed, so that it lives as long as the program.
-    static DECLARED: [Declared; 5] = CALLS;
-    DECLARED.iter().filter(|call| call.method == *method).find_map(|call| {
+    // The static copy gives the returned reference a static lifetime.
+    static ROUTES: [Declared; 5] = CALLS;
+    ROUTES.iter().filter(|call| call.method == *method).find_map(|call| {
         let name = path.strip_prefix(call.path)?;
-        let named = call.path.ends_with('/');
-        let fits = if named {
+        let takes_name = call.path.ends_with('/');
+        let matches = if takes_name {
             !name.is_empty() && name.len() <= 200 && !name.contains('/')
         } else {
             name.is_empty()
         };
-        fits.then(|| (call, name.to_owned()))
+        matches.then(|| (call, name.to_owned()))
     })
 }
 
-/// Reads a request as a call.
+/// Parses a request into a call.
 ///
 /// # Errors
 ///
-/// What to answer where it is none.
+/// The reply to send where the request is not a valid call.
 pub async fn read(request: Request<Incoming>) -> Result<Call, Reply> {
     let Some((call, name)) = find(request.method(), request.uri().path()) else {
         return Err(Reply::fault(Kind::Unknown, "no such call"));
     };
     let body = Limited::new(request.into_body(), call.body_max).collect();
-    match tokio::time::timeout(BODY_TIME, body).await {
+    match tokio::time::timeout(BODY_TIMEOUT, body).await {
         Err(_) => Err(Reply::fault(Kind::TooSlow, "the body did not come in time")),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
             Err(Reply::fault(Kind::TooLarge, format_args!("{} bytes are allowed", call.body_max)))
         }
         Ok(Err(e)) => Err(Reply::fault(Kind::Malformed, e)),
-        Ok(Ok(body)) => Ok((call.take)(name, body.to_bytes().into())),
+        Ok(Ok(body)) => Ok((call.build)(name, body.to_bytes().into())),
     }
 }
 
-/// A reply over HTTP; `path` is that of the call, `control` where markers are called.
+/// Encodes a reply as an HTTP response. `path` is that of the call, `control` holds the port of the markers'
+/// control API, and `last` says that the connection is to be closed.
 pub fn write(reply: Reply, path: &str, control: SocketAddrV4, last: bool) -> Response<Full<Bytes>> {
     let (status, body) = match &reply {
         Reply::Json(text) => (200, Bytes::copy_from_slice(text.as_bytes())),
@@ -129,12 +131,12 @@
         response = response.header(LOCATION, format!("http://{ip}:{}{path}", control.port()));
     }
     if status == 503 {
-        response = response.header(RETRY_AFTER, COME_BACK);
+        response = response.header(RETRY_AFTER, RETRY_AFTER_S);
     }
     if last {
         response = response.header(CONNECTION, "close");
     }
-    // A status of the table, and headers of plain text: always a response.
+    // Building can't fail: the status comes from the table, and all headers are plain text.
     response.body(Full::new(body)).unwrap_or_default()
 }
 
@@ -166,7 +168,7 @@
     }
 
     #[gtest]
-    fn a_fault_names_its_kind_and_what_to_do() {
+    fn a_failure_has_a_status_and_a_retry_time_and_a_redirect_a_location() {
         let control = SocketAddrV4::new([10, 0, 0, 1].into(), 8042);
         let answer = write(Reply::fault(Kind::Uncertain, "x"), "/y", control, false);
         expect_that!(answer.status().as_u16(), eq(503));
--- a/crates/marker/src/duties.rs
+++ b/crates/marker/src/duties.rs
@@ -1,16 +1,18 @@
-//! Duties that one marker does, each won by a round of ballots whenever it falls vacant, and fenced by its number.
+//! Duties that one marker performs for all, each assigned by an election and fenced by the election's
+//! number.
 //!
-//! A candidate asks all of the core for their votes under a number that is higher than any it knows. Whoever votes
-//! promises, on disk, to take nothing of a lower number any more, and votes only where nobody is heard to hold the duty. A majority of
-//! votes is the duty. Its holder says so in every word that it is heard by, and puts its number on what it does:
-//! **who wakes from a freeze with an old number can do nothing**, as a majority refuses it.
+//! A candidate asks all core markers for their votes, under a proposal number higher than any it knows.
+//! A marker that votes promises, on disk, to accept nothing under a lower number from then on; it votes only while it
+//! knows of no live holder. A majority of votes wins the duty. The holder names its duties and their numbers
+//! in each heartbeat and puts the number on every action: **a holder that resumes after a freeze with an
+//! outdated number can do nothing**, because a majority refuses it.
 //!
-//! What must never happen: two hold a duty under one number (numbers end in the folder of whoever asks); something is
-//! taken from a holder after a higher number was promised. What must in the end: while most of the core hear each
-//! other, somebody holds each duty.
+//! Safety: no two markers hold a duty under the same number (numbers include the candidate's replica
+//! identity), and nothing is accepted from a holder after a higher number was promised. Liveness: while a
+//! majority of the core can communicate, each duty eventually has a holder.
 //!
-//! The primary is not among these: who may be primary depends on who holds what, and is decided by epochs
-//! ([`crate::agreement`]).
+//! The primary is not one of these duties: which markers are eligible depends on the data they hold, and
+//! epochs decide it ([`crate::agreement`]).
 
 use crate::agreement::most;
 use crate::parts::Millis;
@@ -19,92 +21,103 @@
 
 /// All duties.
 pub const DUTIES: [Duty; 1] = [Duty::Reaper];
-/// A holder that is not heard for so long holds nothing any more, as far as votes go.
-const HEARD: Millis = 700;
-/// A vacant duty is asked for after a wait drawn between these.
-const WAIT: (Millis, Millis) = (100, 600);
-/// A ballot without a majority in this time has failed.
-const BALLOT: Millis = 600;
-
-struct Ballot {
+/// A holder without a heartbeat for this long no longer keeps others from voting or standing for election.
+const HOLDER_TIMEOUT: Millis = 700;
+/// Minimum and maximum of the random delay before a marker starts an election for a vacant duty.
+const ELECTION_DELAY: (Millis, Millis) = (100, 600);
+/// An election without a majority in this time has failed.
+const ELECTION_TIMEOUT: Millis = 600;
+
+struct Election {
     number: Number,
-    begun: Millis,
+    started: Millis,
     votes: BTreeSet<Node>,
 }
 
 #[derive(Default)]
-struct State {
+struct DutyState {
     holder: Option<(Node, Number, Millis)>,
-    highest: u64,
+    highest_round: u64,
     held: Option<Number>,
-    ballot: Option<Ballot>,
-    next: Millis,
+    election: Option<Election>,
+    next_election: Millis,
 }
 
-/// The duties as one marker knows them.
+/// One marker's view of all duties: their holders, its promises and its own elections.
 pub struct Duties {
     me: Node,
     promised: BTreeMap<Duty, Number>,
-    states: BTreeMap<Duty, State>,
+    states: BTreeMap<Duty, DutyState>,
     rng: fastrand::Rng,
 }
 
 impl Duties {
-    /// For a marker that has promised this.
+    /// Creates the state of a marker that made these promises before; `seed` fixes the random election
+    /// delays.
     pub fn new(me: Node, promised: BTreeMap<Duty, Number>, seed: u64, now: Millis) -> Duties {
         let mut rng = fastrand::Rng::with_seed(seed);
-        // Whoever holds one says so before anybody asks.
-        let state = |duty| (duty, State { next: now + HEARD + rng.u64(WAIT.0..WAIT.1), ..State::default() });
+        // Waits long enough for an existing holder's heartbeat to arrive first.
+        let state = |duty| {
+            (
+                duty,
+                DutyState {
+                    next_election: now + HOLDER_TIMEOUT + rng.u64(ELECTION_DELAY.0..ELECTION_DELAY.1),
+                    ..DutyState::default()
+                },
+            )
+        };
         let states = DUTIES.into_iter().map(state).collect();
         Duties { me, promised, states, rng }
     }
 
-    /// What has to last.
+    /// The highest proposal number promised for each duty, which must be persistent.
     pub fn ballots(&self) -> &BTreeMap<Duty, Number> {
         &self.promised
     }
 
-    /// Those that this marker holds.
+    /// The duties that this marker holds, with their numbers.
     pub fn mine(&self) -> Vec<(Duty, Number)> {
         self.states.iter().filter_map(|(duty, state)| state.held.map(|number| (*duty, number))).collect()
     }
 
-    /// The number under which this marker holds a duty.
+    /// The number under which this marker holds a duty, if it does.
     pub fn held(&self, duty: Duty) -> Option<Number> {
         self.states.get(&duty).and_then(|state| state.held)
     }
 
-    /// Who holds each duty, as far as is heard here.
+    /// The holder of each duty, as far as this marker knows.
     pub fn holders(&self, now: Millis) -> Vec<(Duty, Option<(Node, Number)>)> {
-        let holder = |state: &State| match state.held {
+        let holder = |state: &DutyState| match state.held {
             Some(number) => Some((self.me, number)),
-            None => {
-                state.holder.filter(|(_, _, at)| now < at + HEARD).map(|(node, number, _)| (node, number))
-            }
+            None => state
+                .holder
+                .filter(|(_, _, at)| now < at + HOLDER_TIMEOUT)
+                .map(|(node, number, _)| (node, number)),
         };
         self.states.iter().map(|(duty, state)| (*duty, holder(state))).collect()
     }
 
-    /// Whether what is done under this number still counts; a higher one than any before is remembered.
+    /// Whether an action under this number is still valid, that is, no higher number was promised. A higher
+    /// number than any before is remembered, and ends this marker's own hold or election under a lower one.
     pub fn allows(&mut self, duty: Duty, number: Number) -> bool {
         let promised = self.promised.entry(duty).or_default();
         let allowed = number >= *promised;
         *promised = number.max(*promised);
         let promised = *promised;
         if let Some(state) = self.states.get_mut(&duty) {
-            state.highest = state.highest.max(number.round);
+            state.highest_round = state.highest_round.max(number.round);
             if state.held.is_some_and(|held| held < promised) {
-                log::info!("{duty:?} is held by another now");
+                log::info!("{duty:?}: a higher number was promised, this marker holds it no longer");
                 state.held = None;
             }
-            if state.ballot.as_ref().is_some_and(|ballot| ballot.number < promised) {
-                state.ballot = None;
+            if state.election.as_ref().is_some_and(|election| election.number < promised) {
+                state.election = None;
             }
         }
         allowed
     }
 
-    /// Another marker names the duties that it holds.
+    /// Takes in the duties that another marker names in its heartbeat.
     pub fn on_hear(&mut self, now: Millis, from: Node, duties: &[(Duty, Number)]) {
         for (duty, number) in duties {
             if self.allows(*duty, *number) {
@@ -121,76 +134,84 @@
         }
     }
 
-    /// A candidate asks for a vote. If it is to have it, that must be on disk first.
+    /// Handles a candidate's request for a vote. Returns whether to vote for it; the promise must be on disk
+    /// before the vote is sent.
     pub fn on_ballot(&mut self, now: Millis, from: Node, duty: Duty, number: Number) -> bool {
-        let heard = |state: &State| {
-            let other = state.holder.is_some_and(|(node, _, at)| node != from && now < at + HEARD);
+        let other_holds = |state: &DutyState| {
+            let other = state.holder.is_some_and(|(node, _, at)| node != from && now < at + HOLDER_TIMEOUT);
             other || state.held.is_some()
         };
-        if self.states.get(&duty).is_none_or(heard) || self.promised.get(&duty).is_some_and(|p| *p >= number)
+        if self.states.get(&duty).is_none_or(other_holds)
+            || self.promised.get(&duty).is_some_and(|p| *p >= number)
         {
             return false;
         }
         if let Some(state) = self.states.get_mut(&duty) {
-            // Whoever asks has its time.
-            state.next = state.next.max(now + BALLOT);
+            // Gives the candidate time to win before this marker starts an election itself.
+            state.next_election = state.next_election.max(now + ELECTION_TIMEOUT);
         }
         self.allows(duty, number)
     }
 
-    /// Somebody of the core votes for this marker.
+    /// Counts a vote of a core marker for this one.
     pub fn on_vote(&mut self, now: Millis, from: Node, duty: Duty, number: Number, core: &[Node]) {
         let Some(state) = self.states.get_mut(&duty) else { return };
-        let Some(ballot) = state.ballot.as_mut().filter(|ballot| ballot.number == number) else { return };
-        ballot.votes.insert(from);
-        if most(core, |node| ballot.votes.contains(node)) {
+        let Some(election) = state.election.as_mut().filter(|election| election.number == number) else {
+            return;
+        };
+        election.votes.insert(from);
+        if most(core, |node| election.votes.contains(node)) {
             log::info!(
-                "{duty:?} under number {}, after {} ms",
+                "{duty:?}: elected in round {} after {} ms",
                 number.round,
-                now.saturating_sub(ballot.begun)
+                now.saturating_sub(election.started)
             );
-            (state.ballot, state.held) = (None, Some(number));
+            (state.election, state.held) = (None, Some(number));
         }
     }
 
-    /// Time passes; `may` says whether this marker may hold duties: it is of the core and hears most of it. Gives the
-    /// ballots that it begins: its own vote must be on disk before it asks for others.
+    /// Advances to `now`. `may` says whether this marker is eligible: it belongs to the core and hears a
+    /// majority of it. Returns the elections that it starts: its own vote must be on disk before it asks
+    /// others for theirs.
     pub fn on_tick(&mut self, now: Millis, may: bool) -> Vec<(Duty, Number)> {
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         for (duty, state) in &mut self.states {
             if !may {
                 if state.held.take().is_some() {
-                    log::info!("{duty:?} is laid down");
+                    log::info!("{duty:?}: released, as this marker is not eligible any more");
                 }
-                state.ballot = None;
-                state.next = state.next.max(now + self.rng.u64(WAIT.0..WAIT.1));
+                state.election = None;
+                state.next_election =
+                    state.next_election.max(now + self.rng.u64(ELECTION_DELAY.0..ELECTION_DELAY.1));
                 continue;
             }
-            if state.ballot.as_ref().is_some_and(|ballot| now > ballot.begun + BALLOT) {
-                state.ballot = None;
-                state.next = now + self.rng.u64(WAIT.0..WAIT.1);
+            if state.election.as_ref().is_some_and(|election| now > election.started + ELECTION_TIMEOUT) {
+                state.election = None;
+                state.next_election = now + self.rng.u64(ELECTION_DELAY.0..ELECTION_DELAY.1);
             }
-            let heard = state.holder.is_some_and(|(_, _, at)| now < at + HEARD);
-            if heard {
-                // Drawn anew while there is one, so that those who miss it do not all ask at once.
-                state.next = now + self.rng.u64(WAIT.0..WAIT.1);
+            let holder_is_live = state.holder.is_some_and(|(_, _, at)| now < at + HOLDER_TIMEOUT);
+            if holder_is_live {
+                // The delay is drawn again while there is a holder, so that the markers that lose contact
+                // with it do not all stand for election at once.
+                state.next_election = now + self.rng.u64(ELECTION_DELAY.0..ELECTION_DELAY.1);
             }
-            if heard || state.held.is_some() || state.ballot.is_some() || now < state.next {
+            if holder_is_live || state.held.is_some() || state.election.is_some() || now < state.next_election
+            {
                 continue;
             }
             let promised = self.promised.entry(*duty).or_default();
-            let number = Number { round: state.highest.max(promised.round) + 1, by: self.me.folder };
-            (*promised, state.highest) = (number, number.round);
-            state.ballot = Some(Ballot { number, begun: now, votes: BTreeSet::new() });
-            begun.push((*duty, number));
+            let number = Number { round: state.highest_round.max(promised.round) + 1, by: self.me.folder };
+            (*promised, state.highest_round) = (number, number.round);
+            state.election = Some(Election { number, started: now, votes: BTreeSet::new() });
+            started.push((*duty, number));
         }
-        begun
+        started
     }
 
-    /// The process is about to end: others need not wait until they miss it.
+    /// Gives up all duties before shutdown, so that the others need not wait for the holder timeout.
     pub fn lay_down(&mut self) {
         for state in self.states.values_mut() {
-            (state.held, state.ballot) = (None, None);
+            (state.held, state.election) = (None, None);
         }
     }
 }
@@ -200,7 +221,7 @@
     use super::*;
     use googletest::prelude::*;
 
-    const D: Duty = Duty::Reaper;
+    const DUTY: Duty = Duty::Reaper;
 
     fn nodes() -> Vec<Node> {
         (1..=3).map(|n| Node { ip: [10, 0, 0, n].into(), folder: u64::from(n) }).collect()
@@ -210,46 +231,47 @@
         Duties::new(node, BTreeMap::new(), node.folder, 0)
     }
 
-    /// Two win their first ballots; only the one with the higher number is left, and a majority refuses the other.
+    /// Two candidates win their first elections at once; only the one with the higher number keeps the duty,
+    /// and a majority refuses the other.
     #[gtest]
-    fn of_two_that_win_at_once_one_is_left_and_the_other_can_do_nothing() {
+    fn of_two_concurrent_winners_only_the_higher_number_is_accepted() {
         let core = nodes();
         let (mut a, mut b, mut c) = (duties(core[0]), duties(core[1]), duties(core[2]));
         let (first, second) = (a.on_tick(1_400, true)[0].1, b.on_tick(1_400, true)[0].1);
         expect_that!((first.round, second.round), eq((1, 1)));
-        a.on_vote(1_410, core[0], D, first, &core);
-        b.on_vote(1_410, core[1], D, second, &core);
-        expect_true!(c.on_ballot(1_410, core[0], D, first) && c.on_ballot(1_411, core[1], D, second));
-        a.on_vote(1_420, core[2], D, first, &core);
-        b.on_vote(1_420, core[2], D, second, &core);
-        expect_that!((a.held(D), b.held(D)), eq((Some(first), Some(second))));
-        expect_false!(c.allows(D, first) || b.allows(D, first));
-        expect_true!(c.allows(D, second));
+        a.on_vote(1_410, core[0], DUTY, first, &core);
+        b.on_vote(1_410, core[1], DUTY, second, &core);
+        expect_true!(c.on_ballot(1_410, core[0], DUTY, first) && c.on_ballot(1_411, core[1], DUTY, second));
+        a.on_vote(1_420, core[2], DUTY, first, &core);
+        b.on_vote(1_420, core[2], DUTY, second, &core);
+        expect_that!((a.held(DUTY), b.held(DUTY)), eq((Some(first), Some(second))));
+        expect_false!(c.allows(DUTY, first) || b.allows(DUTY, first));
+        expect_true!(c.allows(DUTY, second));
         a.on_hear(1_570, core[1], &b.mine());
-        expect_that!(a.held(D), none());
-        // Nobody asks again while the holder is heard, and the next number is higher.
+        expect_that!(a.held(DUTY), none());
+        // No marker starts an election while the holder is heard, and the next number is higher.
         expect_true!(a.on_tick(2_200, true).is_empty());
         expect_false!(
-            c.on_ballot(1_600, core[0], D, Number { round: 9, by: 1 }) && c.holders(1_600).is_empty()
+            c.on_ballot(1_600, core[0], DUTY, Number { round: 9, by: 1 }) && c.holders(1_600).is_empty()
         );
         expect_that!(a.on_tick(4_000, true)[0].1, gt(second));
     }
 
     #[gtest]
-    fn whoever_was_frozen_or_started_again_takes_nothing_older_than_it_promised() {
+    fn promises_survive_a_restart_and_a_frozen_holder_releases_its_duty() {
         let core = nodes();
         let (mut a, mut b) = (duties(core[0]), duties(core[1]));
         let first = a.on_tick(1_400, true)[0].1;
-        a.on_vote(1_410, core[0], D, first, &core);
-        a.on_vote(1_410, core[2], D, first, &core);
-        // It froze: meanwhile the next one was promised here, on disk, and here is started again.
+        a.on_vote(1_410, core[0], DUTY, first, &core);
+        a.on_vote(1_410, core[2], DUTY, first, &core);
+        // Marker a freezes; meanwhile b promises the next number on disk and is then restarted.
         let second = Number { round: 2, by: 3 };
-        expect_true!(b.on_ballot(9_000, core[2], D, second));
+        expect_true!(b.on_ballot(9_000, core[2], DUTY, second));
         let mut b = Duties::new(core[1], b.ballots().clone(), 5, 0);
-        expect_false!(b.allows(D, first));
-        // It hears nobody when it wakes, and lays the duty down.
-        expect_that!(a.held(D), some(eq(first)));
+        expect_false!(b.allows(DUTY, first));
+        // When a resumes, it hears no other marker and releases the duty.
+        expect_that!(a.held(DUTY), some(eq(first)));
         a.on_tick(9_500, false);
-        expect_that!(a.held(D), none());
+        expect_that!(a.held(DUTY), none());
     }
 }
--- a/crates/marker/src/members.rs
+++ b/crates/marker/src/members.rs
@@ -1,46 +1,49 @@
-//! The gatekeepers that share all quotas: which there are, and which of them are not heard.
+//! The membership of the gatekeepers that share all quotas, and which of them are missing.
 //!
-//! A gatekeeper that is not heard may be cut off and go on with its even part of each quota, so the others leave it that
-//! part. It is counted until its process has said that it ends, or for a long time: silence is no end. Names are kept on
-//! disk, so that a controller that starts again also knows of those that can't reach it.
+//! A gatekeeper that is missing may be cut off and still admit requests within its even share of each quota,
+//! so the others leave it that share. It stays counted until its process has announced its end, or for a
+//! long time: silence does not prove that it ended. The names are kept on disk, so that a marker that
+//! restarts also knows of gatekeepers that can't reach it.
 //!
-//! The parts add up to the whole only where all controllers divide by the same number. So that changes only while all of
-//! them count together: until then the part of one that has ended is nobody's, and one that comes anew has none of its own,
-//! but is let in on what those have that it counts with.
+//! The shares add up to the whole quota only where all markers divide by the same number. Therefore the
+//! number changes only while all markers of the group count together. Until then the share of a gatekeeper
+//! that has ended stays unused, and a new gatekeeper has no share of its own, but takes part in the shares
+//! of the gatekeepers that it counts with.
 
 use crate::parts::Millis;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// A gatekeeper that no controller has heard for so long is missed.
-const MISSED: Millis = 400;
-/// One that is missed is forgotten after so long.
-const FORGET: Millis = 600_000;
-/// The same for one that is known from the disk only: it may have ended meanwhile.
-const FORGET_STORED: Millis = 60_000;
-/// After all controllers have counted together for so long, all know the same gatekeepers.
-const AGREED: Millis = 1_500;
-/// Gatekeepers that are known at once.
+/// A gatekeeper that no marker has heard for this long is missing.
+const MISSING_AFTER: Millis = 400;
+/// A missing gatekeeper is removed after this time.
+const REMOVE_AFTER: Millis = 600_000;
+/// The same for one that is known only from disk: it may have ended while this marker was down.
+const REMOVE_STORED_AFTER: Millis = 60_000;
+/// Once all markers have counted together for this long, all know the same gatekeepers.
+const AGREEMENT_DELAY: Millis = 1_500;
+/// Maximum number of gatekeepers.
 const MEMBERS_MAX: usize = 20_000;
-/// The home of one that is missed.
-const NOBODY: Ipv4Addr = Ipv4Addr::UNSPECIFIED;
+/// The attached marker of a gatekeeper that is attached to none.
+const NOT_ATTACHED: Ipv4Addr = Ipv4Addr::UNSPECIFIED;
 
 struct Member {
-    home: Ipv4Addr,
-    /// When it was heard last: before this process began, where that is negative.
-    heard: i64,
-    forget_at: Millis,
-    /// Whether the number by which all divide holds it.
+    /// The marker to which it reports its usage.
+    attached_to: Ipv4Addr,
+    /// When it was last heard; negative if that was before this process started.
+    last_heard: i64,
+    remove_at: Millis,
+    /// Whether it is included in the number by which all markers divide the quotas.
     is_counted: bool,
 }
 
 impl Member {
     fn age(&self, now: Millis) -> Millis {
-        (signed(now) - self.heard).max(0).unsigned_abs()
+        (signed(now) - self.last_heard).max(0).unsigned_abs()
     }
 
-    fn is_missed(&self, now: Millis) -> bool {
-        self.age(now) >= MISSED
+    fn is_missing(&self, now: Millis) -> bool {
+        self.age(now) >= MISSING_AFTER
     }
 }
 
@@ -48,88 +51,97 @@
     i64::try_from(time).unwrap_or(i64::MAX)
 }
 
-/// The gatekeepers that share all quotas.
+/// All known gatekeepers and the quota divisor derived from them.
 #[derive(Default)]
 pub struct Members {
     members: BTreeMap<String, Member>,
-    /// Gatekeepers that said that they end, and when.
+    /// Gatekeepers that announced their end, and when.
     ended: BTreeMap<String, Millis>,
-    /// Since when all controllers count together, where they do.
+    /// Since when all markers have counted together; none while they do not.
     agreed_since: Option<Millis>,
 }
 
 impl Members {
-    /// Those that are known from the disk are missed until a controller names them.
+    /// Restores the membership from disk; its gatekeepers are missing until a marker reports them.
     pub fn stored(now: Millis, names: Vec<String>) -> Members {
-        let forget_at = now + FORGET_STORED;
-        let heard = signed(now) - signed(MISSED);
-        let member = |name| (name, Member { home: NOBODY, heard, forget_at, is_counted: true });
+        let remove_at = now + REMOVE_STORED_AFTER;
+        let last_heard = signed(now) - signed(MISSING_AFTER);
+        let member =
+            |name| (name, Member { attached_to: NOT_ATTACHED, last_heard, remove_at, is_counted: true });
         Members { members: names.into_iter().map(member).collect(), ..Members::default() }
     }
 
-    /// Whether all controllers know the same gatekeepers.
+    /// Whether all markers know the same gatekeepers by now.
     fn are_agreed(&self, now: Millis) -> bool {
-        self.agreed_since.is_some_and(|since| now >= since + AGREED)
+        self.agreed_since.is_some_and(|since| now >= since + AGREEMENT_DELAY)
     }
 
     fn counted(&self) -> impl Iterator<Item = (&String, &Member)> {
         self.members.iter().filter(|(_, member)| member.is_counted)
     }
 
-    /// A controller names all gatekeepers whose home it is: others whose home it was are heard no more. Those of one that
-    /// does not count together with this one stay missed.
-    pub fn take(&mut self, now: Millis, home: Ipv4Addr, names: Vec<String>, is_near: bool) {
-        for (name, member) in self.members.iter_mut().filter(|(_, member)| member.home == home) {
+    /// Takes in a marker's report of all gatekeepers that are attached to it: others that were attached to
+    /// it before are attached to none any more. If the marker does not count together with this one
+    /// (`counts_together` is false), its gatekeepers stay missing.
+    pub fn take(&mut self, now: Millis, marker: Ipv4Addr, names: Vec<String>, counts_together: bool) {
+        for (name, member) in self.members.iter_mut().filter(|(_, member)| member.attached_to == marker) {
             if !names.contains(name) {
-                member.home = NOBODY;
+                member.attached_to = NOT_ATTACHED;
             }
         }
         let is_counted = self.are_agreed(now) || self.counted().next().is_none();
         for name in names {
             self.ended.remove(&name);
             if let Some(member) = self.members.get_mut(&name) {
-                member.home = home;
-                if is_near {
-                    (member.heard, member.forget_at) = (signed(now), now + FORGET);
+                member.attached_to = marker;
+                if counts_together {
+                    (member.last_heard, member.remove_at) = (signed(now), now + REMOVE_AFTER);
                 }
             } else if self.members.len() < MEMBERS_MAX {
-                let heard = signed(now) - if is_near { 0 } else { signed(MISSED) };
-                let member = Member { home, heard, forget_at: now + FORGET, is_counted };
+                let last_heard = signed(now) - if counts_together { 0 } else { signed(MISSING_AFTER) };
+                let member =
+                    Member { attached_to: marker, last_heard, remove_at: now + REMOVE_AFTER, is_counted };
                 self.members.insert(name, member);
             }
         }
     }
 
-    /// Another controller misses these, for so long each: one that starts again learns of them; nobody's time begins anew.
+    /// Merges the gatekeepers that another marker misses, each with the time for which it has been missing:
+    /// a marker that restarts learns of them this way. The expiry of a gatekeeper that is known already is
+    /// not extended.
     pub fn learn_missed(&mut self, now: Millis, missed: Vec<(String, Millis)>) {
-        for (name, age) in missed.into_iter().filter(|(_, age)| *age < FORGET) {
+        for (name, age) in missed.into_iter().filter(|(_, age)| *age < REMOVE_AFTER) {
             if self.members.len() < MEMBERS_MAX {
-                let heard = signed(now) - signed(age.max(MISSED));
-                let forget_at = now + (FORGET - age);
-                let member = Member { home: NOBODY, heard, forget_at, is_counted: true };
+                let last_heard = signed(now) - signed(age.max(MISSING_AFTER));
+                let remove_at = now + (REMOVE_AFTER - age);
+                let member = Member { attached_to: NOT_ATTACHED, last_heard, remove_at, is_counted: true };
                 self.members.entry(name).or_insert(member);
             }
         }
     }
 
-    /// A gatekeeper said so long ago that it ends, unless it was heard since.
+    /// Records that a gatekeeper announced its end `age` ms ago, unless it was heard since.
     pub fn end(&mut self, now: Millis, name: &str, age: Millis) {
         let at = now.saturating_sub(age);
-        // One whose home has not noticed yet is named once more within that time.
-        if self.members.get(name).is_some_and(|member| age > 0 && member.heard > signed(at + MISSED)) {
+        // A marker that has not noticed the end yet may report the gatekeeper once more within that time.
+        if self
+            .members
+            .get(name)
+            .is_some_and(|member| age > 0 && member.last_heard > signed(at + MISSING_AFTER))
+        {
             return;
         }
         if let Some(member) = self.members.get_mut(name) {
-            member.home = NOBODY;
+            member.attached_to = NOT_ATTACHED;
         }
         if self.ended.len() < MEMBERS_MAX {
             self.ended.insert(name.to_owned(), at);
         }
     }
 
-    /// Time passes; `all_together` says whether all controllers count together, and `heard_at` when each that counts together
-    /// with this one was heard last. Gives by how many gatekeepers all divide, one at the least, and how many of them are
-    /// missed.
+    /// Advances to `now`. `all_together` says whether all markers count together, and `heard_at` when each
+    /// marker that counts together with this one was last heard. Returns the quota divisor (the number of
+    /// gatekeepers, at least 1) and how many of them are missing.
     pub fn look(
         &mut self,
         now: Millis,
@@ -142,30 +154,30 @@
             self.members.values_mut().for_each(|member| member.is_counted = true);
         }
         for member in self.members.values_mut() {
-            // A controller that is heard would have said that one of its gatekeepers is not.
-            if let Some(heard) = heard_at(member.home).filter(|heard| heard + MISSED > now) {
-                member.heard = member.heard.max(signed(heard.min(now)));
-                member.forget_at = member.forget_at.max(heard.min(now) + FORGET);
+            // A marker that is heard would have reported that it no longer hears one of its gatekeepers.
+            if let Some(heard) = heard_at(member.attached_to).filter(|heard| heard + MISSING_AFTER > now) {
+                member.last_heard = member.last_heard.max(signed(heard.min(now)));
+                member.remove_at = member.remove_at.max(heard.min(now) + REMOVE_AFTER);
             }
         }
-        self.members.retain(|_, member| now < member.forget_at);
-        self.ended.retain(|_, at| now < *at + FORGET);
-        let missed = self.counted().filter(|(_, member)| member.is_missed(now)).count();
+        self.members.retain(|_, member| now < member.remove_at);
+        self.ended.retain(|_, at| now < *at + REMOVE_AFTER);
+        let missed = self.counted().filter(|(_, member)| member.is_missing(now)).count();
         ((self.counted().count() as u32).max(1), missed as u32)
     }
 
-    /// Those that are missed, and for how long each.
+    /// The missing gatekeepers, and for how long each has been missing, ms.
     pub fn missed(&self, now: Millis) -> Vec<(String, Millis)> {
-        let missed = self.counted().filter(|(_, member)| member.is_missed(now));
+        let missed = self.counted().filter(|(_, member)| member.is_missing(now));
         missed.map(|(name, member)| (name.clone(), member.age(now))).collect()
     }
 
-    /// Those that said that they end and were not heard since, and how long ago.
+    /// The gatekeepers that announced their end and were not heard since, and how long ago, ms.
     pub fn ended(&self, now: Millis) -> Vec<(String, Millis)> {
         self.ended.iter().map(|(name, at)| (name.clone(), now - at)).collect()
     }
 
-    /// The names of those that are counted.
+    /// The names of the gatekeepers that count for the divisor.
     pub fn names(&self) -> Vec<String> {
         self.counted().map(|(name, _)| name.clone()).collect()
     }
@@ -183,18 +195,18 @@
         names.iter().map(|name| (*name).to_owned()).collect()
     }
 
-    /// Such a time after the controllers have come to count together.
-    const LATER: Millis = 1_000 + AGREED;
+    /// A time by which the markers have counted together long enough to agree.
+    const LATER: Millis = 1_000 + AGREEMENT_DELAY;
 
     fn together(members: &mut Members, now: Millis) -> (u32, u32) {
         members.look(now, true, |ip| (ip == HERE).then_some(now))
     }
 
-    fn apart(members: &mut Members, now: Millis) -> (u32, u32) {
+    fn separately(members: &mut Members, now: Millis) -> (u32, u32) {
         members.look(now, false, |ip| (ip == HERE).then_some(now))
     }
 
-    /// Three gatekeepers here, known to all.
+    /// Three gatekeepers attached to this marker, known to all.
     fn three() -> Members {
         let mut members = Members::default();
         members.take(1_000, HERE, names(&["a", "b", "c"]), true);
@@ -204,7 +216,7 @@
     }
 
     #[gtest]
-    fn one_that_falls_silent_is_counted_for_ten_minutes_and_one_that_ends_is_not() {
+    fn a_silent_gatekeeper_counts_for_ten_minutes_and_an_ended_one_does_not() {
         let mut members = three();
         members.take(LATER, HERE, names(&["a", "b", "c"]), true);
         members.take(LATER + 1_000, HERE, names(&["a"]), true);
@@ -217,19 +229,19 @@
     }
 
     #[gtest]
-    fn the_number_by_which_all_divide_stands_while_they_count_apart() {
+    fn the_divisor_does_not_change_while_markers_count_separately() {
         let mut members = three();
-        apart(&mut members, LATER);
+        separately(&mut members, LATER);
         members.end(LATER + 100, "a", 0);
         members.take(LATER + 200, HERE, names(&["b", "c", "d"]), true);
-        expect_that!(apart(&mut members, LATER + 1_000), eq((3, 1)));
+        expect_that!(separately(&mut members, LATER + 1_000), eq((3, 1)));
         expect_that!(together(&mut members, LATER + 2_000), eq((3, 1)));
-        expect_that!(together(&mut members, LATER + 2_000 + AGREED), eq((3, 0)));
+        expect_that!(together(&mut members, LATER + 2_000 + AGREEMENT_DELAY), eq((3, 0)));
         expect_that!(members.names(), eq(&names(&["b", "c", "d"])));
     }
 
     #[gtest]
-    fn those_of_a_controller_that_counts_apart_are_missed() {
+    fn gatekeepers_of_a_marker_that_counts_separately_are_missing() {
         let mut members = Members::default();
         members.take(1_000, THERE, names(&["a", "b"]), true);
         expect_that!(members.look(1_500, true, |_| Some(1_500)), eq((2, 0)));
@@ -238,7 +250,7 @@
     }
 
     #[gtest]
-    fn those_on_disk_are_missed_until_they_are_named_and_for_a_minute_at_the_most() {
+    fn stored_gatekeepers_are_missing_until_reported_and_removed_after_a_minute() {
         let mut members = Members::stored(0, names(&["a", "b"]));
         expect_that!(together(&mut members, 0), eq((2, 2)));
         members.take(100, HERE, names(&["a"]), true);
@@ -247,7 +259,7 @@
     }
 
     #[gtest]
-    fn an_end_that_is_told_late_ends_nobody_who_was_heard_since() {
+    fn a_late_end_does_not_remove_a_gatekeeper_that_was_heard_since() {
         let mut members = three();
         members.take(9_000, HERE, names(&["a"]), true);
         members.end(9_000, "a", 5_000);
--- a/crates/marker/src/parts.rs
+++ b/crates/marker/src/parts.rs
@@ -1,4 +1,4 @@
-//! What the parts of a marker share: what they keep, return and answer.
+//! Types shared by the modules of a marker: persistent state, replies to calls and output actions.
 
 use granitelead_common::kinds::Kind;
 use granitelead_control_protocol::words::{
@@ -8,87 +8,87 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// Points in time and spans, ms of a clock that never goes back.
+/// A point in time or a duration in ms, on a monotonic clock.
 pub type Millis = u64;
 
-/// What has to last.
+/// The state that must survive a restart.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Keeping {
-    /// Who this marker is.
+    /// This marker's identity.
     pub node: Node,
-    /// No epoch below this one is kept any more.
+    /// The promise: no epoch with a lower number is accepted any more.
     pub promised: Number,
-    /// The round whose copy was taken in last.
+    /// The number of the round whose copy of the state was stored last.
     pub copied: Number,
-    /// The newest epoch that was kept.
+    /// The newest epoch that was accepted.
     pub epoch: Option<Epoch>,
-    /// The configuration that is held.
+    /// The newest configuration that is stored here.
     pub document: Option<Arc<Document>>,
-    /// Which content each number stands for, of all that is held.
+    /// The content digest of each version that is stored.
     pub ledger: Arc<Ledger>,
-    /// The newest version that is known to be safe from loss.
+    /// The newest version that is known to be committed, so that it can't be lost any more.
     pub sure: Option<u32>,
-    /// Nothing of a lower number is taken from the holder of a duty.
+    /// The highest number promised for each duty: nothing under a lower one is accepted from its holder.
     pub ballots: BTreeMap<Duty, Number>,
 }
 
-/// An answer to a call of a server or an operator.
+/// A reply to the call of a server or an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// It is done; with a body of JSON.
+    /// Success, with a JSON body.
     Json(String),
-    /// The configuration, as it was sent.
+    /// The configuration, byte for byte as the operator sent it.
     Document(Arc<Document>),
-    /// A beat is taken in; later ones go to this marker.
+    /// A heartbeat was accepted; the server is to send later ones to this marker.
     Beats(Ipv4Addr),
-    /// Another marker answers it.
+    /// The call is redirected to another marker.
     Elsewhere(Ipv4Addr),
-    /// It is not done.
+    /// The call failed, with its kind and a description.
     Fault(Kind, String),
 }
 
 impl Reply {
-    /// It is done, and there is nothing to say.
+    /// Success with an empty JSON object.
     pub fn done() -> Reply {
         Reply::Json("{}".into())
     }
 
-    /// The configuration, as it was sent.
+    /// Replies with a configuration, byte for byte as the operator sent it.
     pub fn document(document: Arc<Document>) -> Reply {
         Reply::Document(document)
     }
 
-    /// Another marker answers it.
+    /// Redirects the call to another marker.
     pub fn elsewhere(ip: Ipv4Addr) -> Reply {
         Reply::Elsewhere(ip)
     }
 
-    /// It is not done.
+    /// A failure of this kind with a description.
     pub fn fault(kind: Kind, what: impl ToString) -> Reply {
         Reply::Fault(kind, what.to_string())
     }
 }
 
-/// Names a session of a gatekeeper within this process.
+/// Identifies a session of a gatekeeper within this process.
 pub type SessionId = u64;
 
-/// What a part returns.
+/// An action that a state machine asks its caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Say this to another marker.
+    /// Send a message to another marker.
     Send(Ipv4Addr, Between),
-    /// Say this to a gatekeeper.
+    /// Send a message to a gatekeeper.
     Tell(SessionId, Down),
-    /// End the session of a gatekeeper, for which there is no room.
+    /// Close the session of a gatekeeper that exceeds the session limit.
     End(SessionId),
-    /// Put this on disk, and say the ticket when it is there.
+    /// Write this state to disk and report the ticket once it is durable.
     Write(u64, Keeping),
-    /// Answer a call.
+    /// Reply to a call.
     Answer(u64, Reply),
-    /// Put the servers on disk, whenever there is time.
+    /// Store the servers on disk at low priority.
     Servers(Vec<Instance>),
-    /// Put the names of the gatekeepers on disk, whenever there is time.
+    /// Store the names of the gatekeepers on disk at low priority.
     Gatekeepers(Vec<String>),
-    /// A configuration can't be lost any more.
+    /// A configuration is committed: it can't be lost any more.
     Sure(Arc<Document>),
 }
--- a/crates/marker/src/registry.rs
+++ b/crates/marker/src/registry.rs
@@ -1,7 +1,8 @@
-//! Which servers there are, as their beats tell: soft state, the same at all markers soon.
+//! Registry of server instances, built from their heartbeats: soft state that converges on all markers.
 //!
-//! Of two words about one life of a server the one with the higher `call-sequence` holds; at the same sequence the
-//! later state does. A life that has deregistered never comes back; one that only fell silent does with its next beat.
+//! Of two reports about one instance the one with the higher `call-sequence` wins; at the same sequence the
+//! later state does. An instance that has deregistered never comes back; one that was ended for missing
+//! heartbeats does with its next heartbeat.
 
 use granitelead_common::kinds::Kind;
 use granitelead_common::paths::At;
@@ -11,46 +12,47 @@
 
 use crate::parts::Millis;
 
-/// Beats that may be missed before a server counts as gone, and the time on top.
-const MISSED: (u64, Millis) = (4, 2_000);
-/// Lives that are gone are remembered for so long, so that late words about them change nothing.
-const REMEMBER: Millis = 30_000;
-/// A server counts as heard for one beat and so long: those that beat at other markers are told of a little later.
-const FRESH: Millis = 1_000;
-/// Servers that are known at once.
+/// Heartbeats that a server may miss before it counts as gone, and the extra time on top, ms.
+const MISSED_HEARTBEATS: (u64, Millis) = (4, 2_000);
+/// How long instances that are gone are remembered, ms, so that late reports about them change nothing.
+const REMEMBER_GONE: Millis = 30_000;
+/// A server counts as recently heard for one heartbeat interval plus this time, ms: heartbeats that other
+/// markers received are reported a little later.
+const REPORT_DELAY: Millis = 1_000;
+/// Maximum number of server instances.
 pub const SERVERS_MAX: usize = 20_000;
-/// Bytes of each text that a server gives.
+/// Maximum length of each text in a heartbeat, bytes.
 const TEXT_MAX: usize = 200;
 
 struct Entry {
     instance: Instance,
-    at: Millis,
-    /// Whether its last beat came here.
-    here: bool,
+    last_heard: Millis,
+    /// Whether its last heartbeat came to this marker.
+    is_local: bool,
 }
 
-/// What a word that is told on comes to.
+/// The result of merging a report that another marker passed on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Learnt {
-    /// What has changed here, if anything.
+    /// The instances that have changed here, if any.
     News(Vec<Instance>),
-    /// The server is no more, and whoever told does not know.
+    /// The instance has ended, and the sender of the report does not know that.
     Ended(Instance),
 }
 
-/// All servers that a marker knows.
+/// All server instances that a marker knows.
 pub struct Registry {
     entries: BTreeMap<String, Entry>,
-    beat: Millis,
-    /// Lives that have beaten here since the others were last told.
-    beaten: BTreeSet<String>,
+    heartbeat_interval: Millis,
+    /// Instances whose heartbeats came here since the other markers were last notified.
+    heard_here: BTreeSet<String>,
 }
 
-/// Reads a beat.
+/// Parses the body of a heartbeat.
 ///
 /// # Errors
 ///
-/// The kind and every fault, by its path.
+/// The kind of the error, and a text that names every invalid field by its path.
 pub fn read_beat(id: &str, body: &[u8]) -> Result<Instance, (Kind, String)> {
     let value: Value = serde_json::from_slice(body).map_err(|e| (Kind::Malformed, e.to_string()))?;
     let at = At::whole(&value);
@@ -88,163 +90,178 @@
     at.judge(instance).map_err(|faults| (Kind::Malformed, faults.to_string()))
 }
 
-/// Whether a word about a life of a server is newer than what is known.
-pub fn is_newer(word: &Instance, known: &Instance) -> bool {
-    (word.sequence, word.state) > (known.sequence, known.state)
+/// Whether a report about an instance is newer than what is known.
+pub fn is_newer(report: &Instance, known: &Instance) -> bool {
+    (report.sequence, report.state) > (known.sequence, known.state)
 }
 
 impl Registry {
-    /// Without any server; they beat so often.
-    pub fn new(beat: Millis) -> Registry {
-        Registry { entries: BTreeMap::new(), beat: beat.max(1), beaten: BTreeSet::new() }
+    /// Creates an empty registry; `heartbeat_interval` is the heartbeat interval, ms.
+    pub fn new(heartbeat_interval: Millis) -> Registry {
+        Registry {
+            entries: BTreeMap::new(),
+            heartbeat_interval: heartbeat_interval.max(1),
+            heard_here: BTreeSet::new(),
+        }
     }
 
-    /// Takes in a beat that came here. Gives what the others have to be told, if anything: also a server whose beats came
-    /// elsewhere before, as whoever told of it there may not reach all.
+    /// Takes in a heartbeat that came to this marker. Returns the changes that the other markers have to be
+    /// sent, if any: also a server whose heartbeats came to another marker before, as that one may not have
+    /// reached all.
     pub fn on_beat(&mut self, now: Millis, instance: Instance) -> Vec<Instance> {
         let id = instance.id.clone();
-        self.beaten.insert(id.clone());
-        let comes = self.entries.get(&id).is_some_and(|e| !e.here && is_newer(&instance, &e.instance));
+        self.heard_here.insert(id.clone());
+        let was_remote =
+            self.entries.get(&id).is_some_and(|e| !e.is_local && is_newer(&instance, &e.instance));
         let mut changed = self.take(now, instance);
         if let Some(entry) = self.entries.get_mut(&id) {
-            entry.here = true;
-            if comes && changed.is_empty() {
+            entry.is_local = true;
+            if was_remote && changed.is_empty() {
                 changed.push(entry.instance.clone());
             }
         }
         changed
     }
 
-    /// Takes in a word about a server. Gives what has changed.
+    /// Takes in a report about an instance. Returns the changes.
     pub fn take(&mut self, now: Millis, instance: Instance) -> Vec<Instance> {
         if let Some(entry) = self.entries.get_mut(&instance.id) {
             if !is_newer(&instance, &entry.instance) {
                 return Vec::new();
             }
-            (entry.at, entry.here) = (now, false);
-            let changes =
+            (entry.last_heard, entry.is_local) = (now, false);
+            let is_changed =
                 entry.instance.state != instance.state || entry.instance.address != instance.address;
             entry.instance.update(instance);
-            return changes.then(|| entry.instance.clone()).into_iter().collect();
+            return is_changed.then(|| entry.instance.clone()).into_iter().collect();
         }
         if self.entries.len() >= SERVERS_MAX {
-            log::error!("more than {SERVERS_MAX} servers: {} is not taken in", instance.id);
+            log::error!("server limit of {SERVERS_MAX} reached: instance {} is ignored", instance.id);
             return Vec::new();
         }
         let mut changed = Vec::new();
-        // Whoever had the address has ended.
+        // An instance that had the same address before has ended.
         if instance.state != State::Gone {
             let same =
                 |e: &&mut Entry| e.instance.address == instance.address && e.instance.state != State::Gone;
             for entry in self.entries.values_mut().filter(same) {
-                (entry.instance.state, entry.at) = (State::Gone, now);
+                (entry.instance.state, entry.last_heard) = (State::Gone, now);
                 changed.push(entry.instance.clone());
             }
         }
         changed.push(instance.clone());
-        self.entries.insert(instance.id.clone(), Entry { instance, at: now, here: false });
+        self.entries.insert(instance.id.clone(), Entry { instance, last_heard: now, is_local: false });
         changed
     }
 
-    /// What is known of a life.
+    /// The latest known state of an instance.
     pub fn get(&self, id: &str) -> Option<&Instance> {
         self.entries.get(id).map(|e| &e.instance)
     }
 
-    /// A server says that it ends.
+    /// Ends an instance that deregisters. Returns the changes.
     pub fn on_leave(&mut self, now: Millis, id: &str) -> Vec<Instance> {
         let Some(entry) = self.entries.get_mut(id) else {
-            // Others may know it: they have to hear of its end before that is acknowledged.
+            // Other markers may know it: they have to receive its end before the call is acknowledged.
             return self.take(now, Instance::ended(id));
         };
         let before = (entry.instance.state, entry.instance.sequence);
-        (entry.instance.state, entry.instance.sequence, entry.at) = (State::Gone, u64::MAX, now);
-        let changes = before != (State::Gone, u64::MAX);
-        changes.then(|| entry.instance.clone()).into_iter().collect()
+        (entry.instance.state, entry.instance.sequence, entry.last_heard) = (State::Gone, u64::MAX, now);
+        let is_changed = before != (State::Gone, u64::MAX);
+        is_changed.then(|| entry.instance.clone()).into_iter().collect()
     }
 
-    /// Servers have beaten at another marker.
-    pub fn on_alive(&mut self, now: Millis, lives: &[(String, u64)]) -> Vec<Instance> {
+    /// Takes in instances whose heartbeats another marker received, with their sequences. Returns the
+    /// changes.
+    pub fn on_alive(&mut self, now: Millis, instances: &[(String, u64)]) -> Vec<Instance> {
         let mut changed = Vec::new();
-        for (id, sequence) in lives {
+        for (id, sequence) in instances {
             let Some(entry) = self.entries.get_mut(id) else { continue };
             if entry.instance.sequence < *sequence && entry.instance.state != State::Draining {
-                (entry.instance.sequence, entry.at, entry.here) = (*sequence, now, false);
+                (entry.instance.sequence, entry.last_heard, entry.is_local) = (*sequence, now, false);
                 if entry.instance.state == State::Gone {
                     entry.instance.state = State::Ready;
                     changed.push(entry.instance.clone());
                 }
             } else if entry.instance.state == State::Draining {
-                entry.at = now;
+                entry.last_heard = now;
             }
         }
         changed
     }
 
-    /// Those that have beaten here since this was last asked.
+    /// Takes the instances whose heartbeats came here since the last call, with their sequences.
     pub fn beaten(&mut self) -> Vec<(String, u64)> {
-        let beaten = std::mem::take(&mut self.beaten);
+        let heard = std::mem::take(&mut self.heard_here);
         let sequence = |id: String| self.entries.get(&id).map(|e| (id, e.instance.sequence));
-        beaten.into_iter().filter_map(sequence).filter(|(_, n)| *n != u64::MAX).collect()
+        heard.into_iter().filter_map(sequence).filter(|(_, n)| *n != u64::MAX).collect()
     }
 
-    /// All that are not gone, as others are to know them.
+    /// All instances that are not gone, as other markers and gatekeepers are to know them.
     pub fn all(&self) -> Vec<Instance> {
         self.entries.values().map(|e| &e.instance).filter(|i| i.state != State::Gone).cloned().collect()
     }
 
-    /// Takes in a word that is told on by somebody who may have been away for long.
-    pub fn learn(&mut self, now: Millis, word: Instance) -> Learnt {
-        let known = self.entries.get(&word.id).map(|e| &e.instance);
-        let ended = known.is_some_and(|k| k.state == State::Gone && !is_newer(&word, k));
-        // What is only remembered from before this start was not heard.
-        let fresh = self.beat + FRESH;
-        let taken = |e: &Entry| {
-            let other = e.instance.id != word.id && e.instance.state != State::Gone;
-            other && e.instance.address == word.address && e.at > 0 && now < e.at + fresh
+    /// Merges a report passed on by a marker that may have been disconnected for long.
+    pub fn learn(&mut self, now: Millis, report: Instance) -> Learnt {
+        let known = self.entries.get(&report.id).map(|e| &e.instance);
+        let ended = known.is_some_and(|k| k.state == State::Gone && !is_newer(&report, k));
+        // An instance that is known only from before this start was not heard.
+        let recent = self.heartbeat_interval + REPORT_DELAY;
+        let has_address = |e: &Entry| {
+            let is_other = e.instance.id != report.id && e.instance.state != State::Gone;
+            is_other
+                && e.instance.address == report.address
+                && e.last_heard > 0
+                && now < e.last_heard + recent
         };
-        if word.state != State::Gone && (ended || known.is_none() && self.entries.values().any(taken)) {
+        if report.state != State::Gone && (ended || known.is_none() && self.entries.values().any(has_address))
+        {
             let end = known.filter(|_| ended).cloned();
-            return Learnt::Ended(end.unwrap_or(Instance { state: State::Gone, ..word }));
+            return Learnt::Ended(end.unwrap_or(Instance { state: State::Gone, ..report }));
         }
-        Learnt::News(self.take(now, word))
+        Learnt::News(self.take(now, report))
     }
 
-    /// Time passes; `deaf` says that beats may come elsewhere and not be told of here.
-    pub fn on_tick(&mut self, now: Millis, deaf: bool) {
-        let half = self.silence() / 2;
-        for entry in self.entries.values_mut().filter(|e| deaf && e.instance.state != State::Gone) {
-            entry.at = entry.at.max(now.saturating_sub(half));
+    /// Advances to `now` and drops instances that have been gone for long. `may_miss_reports` says that
+    /// heartbeats may reach other markers without being reported here: no timeout can then pass its half.
+    pub fn on_tick(&mut self, now: Millis, may_miss_reports: bool) {
+        let half = self.timeout() / 2;
+        for entry in self.entries.values_mut().filter(|e| may_miss_reports && e.instance.state != State::Gone)
+        {
+            entry.last_heard = entry.last_heard.max(now.saturating_sub(half));
         }
-        self.entries.retain(|_, e| e.instance.state != State::Gone || now < e.at + REMEMBER);
+        self.entries.retain(|_, e| e.instance.state != State::Gone || now < e.last_heard + REMEMBER_GONE);
     }
 
-    fn silence(&self) -> Millis {
-        MISSED.0 * self.beat + MISSED.1
+    fn timeout(&self) -> Millis {
+        MISSED_HEARTBEATS.0 * self.heartbeat_interval + MISSED_HEARTBEATS.1
     }
 
-    /// The servers whose beats have stopped, as they are to be known once they are ended.
+    /// The servers whose heartbeats have timed out, already marked as gone.
     pub fn silent(&self, now: Millis) -> Vec<Instance> {
-        let silence = self.silence();
-        let silent = |e: &&Entry| e.instance.state != State::Gone && now > e.at + silence;
+        let timeout = self.timeout();
+        let silent = |e: &&Entry| e.instance.state != State::Gone && now > e.last_heard + timeout;
         let ends = self.entries.values().filter(silent);
         ends.map(|e| Instance { state: State::Gone, ..e.instance.clone() }).collect()
     }
 
-    /// Of servers that are silent elsewhere those that are not silent here, with the newest sequence.
+    /// Of servers that timed out at another marker those that have not timed out here, with their newest
+    /// sequence.
     pub fn heard_of(&self, now: Millis, servers: &[Instance]) -> Vec<(String, u64)> {
-        let silence = self.silence();
-        let heard = |e: &&Entry| e.instance.state != State::Gone && now <= e.at + silence;
+        let timeout = self.timeout();
+        let heard = |e: &&Entry| e.instance.state != State::Gone && now <= e.last_heard + timeout;
         let here = servers.iter().filter_map(|s| self.entries.get(&s.id)).filter(heard);
         here.map(|e| (e.instance.id.clone(), e.instance.sequence)).collect()
     }
 
-    /// Ends servers that were silent, unless they have beaten since. Gives those that it ends.
+    /// Ends servers that had timed out, unless a heartbeat has come since. Returns those that it ends.
     pub fn end(&mut self, now: Millis, silent: Vec<Instance>) -> Vec<Instance> {
         silent.into_iter().flat_map(|end| self.take(now, end)).collect()
     }
 
-    /// All that are known, those too that are gone and still remembered: what one that was away may have missed.
+    /// All known instances, including those that are gone and still remembered: what a marker that was
+    /// disconnected may have missed.
     pub fn whole(&self) -> Vec<Instance> {
         self.entries.values().map(|e| e.instance.clone()).collect()
     }
@@ -270,7 +287,7 @@
     }
 
     #[gtest]
-    fn a_server_starts_drains_and_goes_and_late_words_change_nothing() {
+    fn late_reports_do_not_change_a_server_that_drains_or_has_ended() {
         let mut registry = Registry::new(1_500);
         expect_that!(registry.on_beat(0, server("x", 1, State::Ready)).len(), eq(1));
         expect_that!(registry.on_beat(1_500, server("x", 2, State::Ready)).len(), eq(0));
@@ -284,7 +301,7 @@
     }
 
     #[gtest]
-    fn silence_ends_a_server_unless_the_marker_may_be_deaf_and_a_beat_brings_it_back() {
+    fn missing_heartbeats_end_a_server_unless_reports_are_missing_and_a_heartbeat_restores_it() {
         let mut registry = Registry::new(1_500);
         registry.on_beat(0, server("x", 1, State::Ready));
         registry.on_beat(0, server("xx", 1, State::Ready));
@@ -293,9 +310,9 @@
         expect_that!(registry.silent(8_001).len(), eq(0));
         let silent = registry.silent(12_002);
         expect_that!(silent[0].id, eq("x"));
-        // Nobody is ended who has beaten since.
-        let beaten = Instance { sequence: 0, ..silent[0].clone() };
-        expect_that!(registry.end(12_002, vec![beaten]).len(), eq(0));
+        // A server with a heartbeat since is not ended.
+        let outdated = Instance { sequence: 0, ..silent[0].clone() };
+        expect_that!(registry.end(12_002, vec![outdated]).len(), eq(0));
         expect_that!(registry.all().len(), eq(2));
         expect_that!(registry.end(12_002, silent)[0].id, eq("x"));
         expect_that!(registry.all().len(), eq(1));
@@ -304,16 +321,16 @@
     }
 
     #[gtest]
-    fn an_address_belongs_to_the_newest_life() {
+    fn an_address_belongs_to_the_newest_instance() {
         let mut registry = Registry::new(1_500);
         registry.on_beat(0, server("x", 7, State::Ready));
         let changed = registry.on_beat(10, server("y", 1, State::Ready));
-        let told: Vec<(&str, State)> = changed.iter().map(|i| (i.id.as_str(), i.state)).collect();
-        expect_that!(told, eq(&vec![("x", State::Gone), ("y", State::Ready)]));
+        let changes: Vec<(&str, State)> = changed.iter().map(|i| (i.id.as_str(), i.state)).collect();
+        expect_that!(changes, eq(&vec![("x", State::Gone), ("y", State::Ready)]));
     }
 
     #[gtest]
-    fn a_beat_is_read_or_refused_by_its_paths() {
+    fn a_heartbeat_is_parsed_or_rejected_with_the_paths_of_its_errors() {
         let good = r#"{"address":"10.128.0.9:8080","information":{"service-name":"h","version":"v1","zone":"z",
             "capacity-slots":2},"status":{"state":"ready","call-sequence":4,"cold-remaining-ms":0}}"#;
         let read = read_beat("i", good.as_bytes()).unwrap();
--- a/crates/marker/src/repair.rs
+++ b/crates/marker/src/repair.rs
@@ -1,102 +1,107 @@
-//! Repair: what a marker should have had while it could not be told is kept for it here, and handed over when its line
-//! is up again, in parts, each once.
+//! Repair after a lost connection: ends of servers that another marker could not be sent are kept here and
+//! sent in batches once the connection is back, each end until it is acknowledged.
 //!
-//! What servers there are is told whole whenever a line comes up; what that leaves out is who is no more: a server
-//! that ended, a gatekeeper that left. Each such word is kept until the other says that it has it. Adds are not
-//! kept: they would count at the time of their handing over, long after what they were for.
+//! The list of live servers is sent whole whenever a connection comes up, but it leaves out servers that
+//! have ended. Each end is therefore kept until the other marker acknowledges it. Usage reports are not
+//! kept: they would count at the time of delivery, long after the requests that they stand for.
 
 use crate::parts::Millis;
 use granitelead_control_protocol::words::Instance;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// Ends that are kept for one marker; the oldest are dropped, and silence ends those servers there.
-pub const KEPT_MAX: usize = 1_000;
-/// They are kept for so long: by then silence has ended the servers there as well.
-const KEEP: Millis = 30_000;
-/// How many are handed over at once.
-const PART: usize = 64;
+/// Maximum number of ends that are kept for one marker. Beyond it the oldest are dropped; that marker then
+/// ends those servers once their heartbeats are missing.
+pub const ENDS_PER_MARKER_MAX: usize = 1_000;
+/// How long ends are kept, ms: by then the missing heartbeats have ended the servers there as well.
+const EXPIRE_AFTER: Millis = 30_000;
+/// Maximum number of ends in one batch.
+const BATCH_MAX: usize = 64;
 
-/// An end that somebody may not know yet.
-struct Owed {
+/// The end of a server that a marker has not acknowledged.
+struct UnacknowledgedEnd {
     instance: Instance,
     since: Millis,
-    /// Under which ticket it was told last.
+    /// The ticket under which it was last sent; 0 if it has to be sent again.
     ticket: u64,
 }
 
-/// What is kept for others.
+/// The unacknowledged ends for each marker.
 #[derive(Default)]
 pub struct Repair {
-    owed: BTreeMap<Ipv4Addr, BTreeMap<String, Owed>>,
-    /// Markers to which parts are being handed over, and the ticket of the last part.
-    handing: BTreeMap<Ipv4Addr, u64>,
-    handed: u64,
-    dropped: u64,
+    unacknowledged: BTreeMap<Ipv4Addr, BTreeMap<String, UnacknowledgedEnd>>,
+    /// Markers to which batches are being sent, and the ticket of the latest batch.
+    in_progress: BTreeMap<Ipv4Addr, u64>,
+    resent_count: u64,
+    dropped_count: u64,
 }
 
 impl Repair {
-    /// A marker is told of the end of servers under a ticket; it is kept until it has it.
+    /// Records ends of servers that a marker is sent under a ticket, until it acknowledges them.
     pub fn owe(&mut self, now: Millis, to: Ipv4Addr, ended: &[Instance], ticket: u64) {
-        let owed = self.owed.entry(to).or_default();
+        let ends = self.unacknowledged.entry(to).or_default();
         for instance in ended {
-            owed.insert(instance.id.clone(), Owed { instance: instance.clone(), since: now, ticket });
+            ends.insert(
+                instance.id.clone(),
+                UnacknowledgedEnd { instance: instance.clone(), since: now, ticket },
+            );
         }
-        while owed.len() > KEPT_MAX {
-            let oldest = owed.iter().min_by_key(|(_, o)| o.since).map(|(id, _)| id.clone());
-            owed.remove(&oldest.unwrap_or_default());
-            self.dropped += 1;
+        while ends.len() > ENDS_PER_MARKER_MAX {
+            let oldest = ends.iter().min_by_key(|(_, end)| end.since).map(|(id, _)| id.clone());
+            ends.remove(&oldest.unwrap_or_default());
+            self.dropped_count += 1;
         }
     }
 
-    /// It has what it was told under a ticket. Says whether another part may follow.
+    /// A marker acknowledges what it was sent under a ticket. Returns whether to send the next batch.
     pub fn told(&mut self, from: Ipv4Addr, ticket: u64) -> bool {
-        if let Some(owed) = self.owed.get_mut(&from) {
-            owed.retain(|_, o| o.ticket != ticket);
+        if let Some(ends) = self.unacknowledged.get_mut(&from) {
+            ends.retain(|_, end| end.ticket != ticket);
         }
-        self.handing.get(&from) == Some(&ticket)
+        self.in_progress.get(&from) == Some(&ticket)
     }
 
-    /// Its line has come up: whatever was under way is lost.
+    /// The connection to a marker has come up: unacknowledged messages are considered lost.
     pub fn back(&mut self, ip: Ipv4Addr) {
-        self.handing.remove(&ip);
-        for owed in self.owed.get_mut(&ip).into_iter().flat_map(BTreeMap::values_mut) {
-            owed.ticket = 0;
+        self.in_progress.remove(&ip);
+        for ends in self.unacknowledged.get_mut(&ip).into_iter().flat_map(BTreeMap::values_mut) {
+            ends.ticket = 0;
         }
     }
 
-    /// The next part for it, to be told under this ticket; none where nothing is left.
+    /// The next batch for a marker, to be sent under this ticket; empty once nothing is left.
     pub fn part(&mut self, ip: Ipv4Addr, ticket: u64) -> Vec<Instance> {
-        let left = self.owed.get_mut(&ip).into_iter().flat_map(BTreeMap::values_mut);
-        let part: Vec<Instance> = left
-            .filter(|o| o.ticket == 0)
-            .take(PART)
-            .map(|o| {
-                o.ticket = ticket;
-                o.instance.clone()
+        let ends = self.unacknowledged.get_mut(&ip).into_iter().flat_map(BTreeMap::values_mut);
+        let batch: Vec<Instance> = ends
+            .filter(|end| end.ticket == 0)
+            .take(BATCH_MAX)
+            .map(|end| {
+                end.ticket = ticket;
+                end.instance.clone()
             })
             .collect();
-        if part.is_empty() {
-            self.handing.remove(&ip);
+        if batch.is_empty() {
+            self.in_progress.remove(&ip);
         } else {
-            self.handing.insert(ip, ticket);
-            self.handed += part.len() as u64;
+            self.in_progress.insert(ip, ticket);
+            self.resent_count += batch.len() as u64;
         }
-        part
+        batch
     }
 
-    /// Forgets what is too old, and markers that are not known any more.
+    /// Drops expired ends, and all ends for markers that are no longer known.
     pub fn sweep(&mut self, now: Millis, known: impl Fn(&Ipv4Addr) -> bool) {
-        self.owed.retain(|ip, owed| {
-            owed.retain(|_, o| now < o.since + KEEP);
-            known(ip) && !owed.is_empty()
+        self.unacknowledged.retain(|ip, ends| {
+            ends.retain(|_, end| now < end.since + EXPIRE_AFTER);
+            known(ip) && !ends.is_empty()
         });
-        self.handing.retain(|ip, _| known(ip));
+        self.in_progress.retain(|ip, _| known(ip));
     }
 
-    /// How many ends are kept, how many were handed over after a gap, and how many were dropped for want of room.
+    /// The number of ends that are kept, that were sent again after a disconnection, and that were dropped
+    /// at the limit.
     pub fn figures(&self) -> (usize, u64, u64) {
-        (self.owed.values().map(BTreeMap::len).sum(), self.handed, self.dropped)
+        (self.unacknowledged.values().map(BTreeMap::len).sum(), self.resent_count, self.dropped_count)
     }
 }
 
@@ -121,7 +126,7 @@
     }
 
     #[gtest]
-    fn what_was_missed_is_handed_over_in_parts_and_once() {
+    fn missed_ends_are_sent_in_batches_until_acknowledged() {
         let (mut repair, ip) = (Repair::default(), [10, 0, 0, 2].into());
         let all: Vec<Instance> = (0..100).map(ended).collect();
         repair.owe(0, ip, &all[..99], 7);
@@ -129,13 +134,13 @@
         expect_false!(repair.told(ip, 8));
         repair.back(ip);
         let first = repair.part(ip, 9);
-        expect_that!(first.len(), eq(PART));
-        // The line breaks again before it is known to have come.
+        expect_that!(first.len(), eq(BATCH_MAX));
+        // The connection breaks again before the batch is acknowledged.
         repair.back(ip);
         expect_that!(repair.part(ip, 10), eq(&first));
         expect_true!(repair.told(ip, 10));
         let second = repair.part(ip, 11);
-        expect_that!(second.len(), eq(99 - PART));
+        expect_that!(second.len(), eq(99 - BATCH_MAX));
         expect_true!(repair.told(ip, 11));
         expect_true!(repair.part(ip, 12).is_empty());
         repair.back(ip);
@@ -143,15 +148,15 @@
     }
 
     #[gtest]
-    fn what_is_kept_is_bounded_in_number_and_time() {
+    fn kept_ends_are_limited_in_number_and_age() {
         let (mut repair, ip) = (Repair::default(), [10, 0, 0, 2].into());
-        for n in 0..KEPT_MAX + 5 {
+        for n in 0..ENDS_PER_MARKER_MAX + 5 {
             repair.owe(n as Millis, ip, &[ended(n)], 0);
         }
-        expect_that!(repair.figures(), eq((KEPT_MAX, 0, 5)));
-        repair.sweep(KEEP + 10, |_| true);
-        expect_that!(repair.figures().0, eq(KEPT_MAX - 6));
-        repair.sweep(KEEP + 10, |_| false);
+        expect_that!(repair.figures(), eq((ENDS_PER_MARKER_MAX, 0, 5)));
+        repair.sweep(EXPIRE_AFTER + 10, |_| true);
+        expect_that!(repair.figures().0, eq(ENDS_PER_MARKER_MAX - 6));
+        repair.sweep(EXPIRE_AFTER + 10, |_| false);
         expect_that!(repair.figures().0, eq(0));
     }
 }
--- a/crates/marker/src/sessions.rs
+++ b/crates/marker/src/sessions.rs
@@ -1,4 +1,5 @@
-//! Sessions of gatekeepers: who is a member, what each was told, and what waits until all know it.
+//! Sessions of gatekeepers: the configuration and acknowledgement state of each, and the calls that wait
+//! until all gatekeepers have acknowledged a change.
 
 use crate::parts::{Millis, Output, SessionId};
 use crate::pushes::Pushes;
@@ -7,51 +8,56 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// How long a server's call may wait until all know what it says; servers wait a second for their answer.
-const KNOWN: Millis = 550;
-/// The same for what another marker passed on: it has to hear of it before its own time is over.
-const KNOWN_HERE: Millis = 350;
-/// A session that says nothing for so long is not heard: it says that it stands four times as often.
-const HEARD: Millis = 600;
-/// Whoever is not the home of a gatekeeper leaves a configuration to that for so long: most often it has it by then. A
-/// home that is cut off or frozen costs this and a tick, of the 2,000 that there are.
-const OTHERS: Millis = 200;
-/// Sessions at once.
+/// Maximum wait of a server's call for the acknowledgements of all gatekeepers, ms; servers time out after a
+/// second.
+const CALL_WAIT: Millis = 550;
+/// The same for a change that another marker passed on, ms: that marker must receive the confirmation before
+/// its own wait times out.
+const FORWARDED_WAIT: Millis = 350;
+/// A session without a ping for this long does not count as connected, ms; gatekeepers ping four times as
+/// often.
+const SESSION_TIMEOUT: Millis = 600;
+/// A marker leaves sending a configuration to a gatekeeper's attached marker for this long, ms: most often
+/// the gatekeeper has it by then. If the attached marker is cut off or frozen, this and one tick are lost of
+/// the 2,000 ms that a change may take.
+const ATTACHED_HEAD_START: Millis = 200;
+/// Maximum number of concurrent sessions.
 pub const SESSIONS_MAX: usize = 2_000;
 
-/// Who is told once all know.
+/// The party to answer once all gatekeepers have acknowledged a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Waiter {
     /// The server that made this call.
     Call(u64),
-    /// The marker that passed it on, under its ticket.
+    /// The marker that passed the change on, under its ticket.
     Marker(Ipv4Addr, u64),
 }
 
 struct Session {
-    life: u64,
+    incarnation: u64,
     name: String,
-    sent: u64,
-    got: u64,
-    /// What it has in force, as it says.
-    has: Option<Revision>,
-    /// The newest that it was told here.
-    told: Option<Revision>,
-    /// Whether this marker is its home.
-    home: bool,
-    /// The news that carried it: until they are taken in no other configuration is sent, and then the newest alone. A link
-    /// that is slower than the changes would have ever more waiting.
-    carrier: u64,
-    /// Whether one waits for that.
-    waits: bool,
-    /// When it is told the newest, unless it says before that it has it.
-    due: Option<Millis>,
-    heard: Millis,
+    last_sent: u64,
+    last_acknowledged: u64,
+    /// The configuration that it reports as in force.
+    in_force: Option<Revision>,
+    /// The newest configuration that was sent over this session.
+    last_configuration: Option<Revision>,
+    /// Whether the gatekeeper is attached to this marker.
+    is_attached: bool,
+    /// The number of the message that carried it. Until that is acknowledged no other configuration is sent,
+    /// and then only the newest: otherwise the queue of a link slower than the rate of changes would grow
+    /// without bound.
+    carrier_number: u64,
+    /// Whether a newer configuration is held back until then.
+    is_held_back: bool,
+    /// When to send the newest configuration, unless the gatekeeper reports it as in force before.
+    due_at: Option<Millis>,
+    last_heard: Millis,
 }
 
 impl Session {
     fn is_behind(&self, version: u32) -> bool {
-        self.has.is_none_or(|has| has.version < version)
+        self.in_force.is_none_or(|has| has.version < version)
     }
 }
 
@@ -59,63 +65,66 @@
     waiter: Waiter,
     sessions: BTreeMap<SessionId, u64>,
     markers: BTreeSet<Ipv4Addr>,
-    /// Markers that have said that all there know.
-    told: BTreeSet<Ipv4Addr>,
+    /// Markers that have confirmed that all their gatekeepers know.
+    confirmed: BTreeSet<Ipv4Addr>,
     ticket: u64,
-    until: Millis,
+    deadline: Millis,
 }
 
-/// All sessions at a marker.
+/// All sessions of a marker, and the calls that wait for acknowledgements.
 #[derive(Default)]
 pub struct Sessions {
     sessions: BTreeMap<SessionId, Session>,
     waits: Vec<Wait>,
-    ticket: u64,
+    last_ticket: u64,
     pushes: Pushes,
 }
 
 impl Sessions {
-    /// Without any; tickets begin after this number, so that a word for a former life of the process counts for nothing.
+    /// Creates an empty set. Tickets start after this number, so that a confirmation meant for an earlier
+    /// incarnation of the process is ignored.
     pub fn new(ticket: u64) -> Sessions {
-        Sessions { ticket, ..Sessions::default() }
+        Sessions { last_ticket: ticket, ..Sessions::default() }
     }
 
-    /// A gatekeeper opens a session; it is told all.
-    #[allow(clippy::too_many_arguments)] // All that a session begins with.
+    /// Opens a session and sends the gatekeeper the committed configuration, the servers and the markers.
+    /// Beyond the session limit the session is closed instead.
+    #[allow(clippy::too_many_arguments)] // The whole initial state of a session.
     pub fn open(
         &mut self,
         now: Millis,
         id: SessionId,
-        life: u64,
+        incarnation: u64,
         name: String,
         has: Option<Revision>,
-        sure: Option<&Arc<Document>>,
+        committed: Option<&Arc<Document>>,
         servers: Vec<Instance>,
         markers: Vec<Ipv4Addr>,
         zone: &str,
         out: &mut Vec<Output>,
     ) {
         if self.sessions.len() >= SESSIONS_MAX {
-            log::error!("more than {SESSIONS_MAX} sessions: {name} is not taken in");
-            // It would take a line that stands for a session, and be told nothing over it.
+            log::error!("session limit of {SESSIONS_MAX} reached: closing the session of gatekeeper {name}");
+            // Left open, the connection would look like a session to the gatekeeper, which would receive
+            // nothing over it.
             return out.push(Output::End(id));
         }
         let session = Session {
-            life,
+            incarnation,
             name,
-            sent: 0,
-            got: 0,
-            has,
-            told: None,
-            carrier: 0,
-            waits: false,
-            home: false,
-            due: None,
-            heard: now,
+            last_sent: 0,
+            last_acknowledged: 0,
+            in_force: has,
+            last_configuration: None,
+            carrier_number: 0,
+            is_held_back: false,
+            is_attached: false,
+            due_at: None,
+            last_heard: now,
         };
         self.sessions.insert(id, session);
-        if let Some(document) = sure {
-            self.pushes.newest(document);
+        if let Some(document) = committed {
+            self.pushes.set_newest(document);
             self.push(id, out);
         }
         self.tell(id, News::Servers(servers), out);
@@ -123,7 +132,7 @@
         self.tell(id, News::Whole(zone.to_owned()), out);
     }
 
-    /// A session ends.
+    /// Removes a session; nothing waits for it any more.
     pub fn close(&mut self, id: SessionId) {
         self.sessions.remove(&id);
         for wait in &mut self.waits {
@@ -131,9 +140,9 @@
         }
     }
 
-    /// The life of a session's gatekeeper.
+    /// The incarnation of a session's gatekeeper.
     pub fn life(&self, id: SessionId) -> Option<u64> {
-        self.sessions.get(&id).map(|s| s.life)
+        self.sessions.get(&id).map(|s| s.incarnation)
     }
 
     /// The name of a session's gatekeeper.
@@ -141,85 +150,89 @@
         self.sessions.get(&id).map(|s| s.name.clone())
     }
 
-    /// A gatekeeper says that its session stands.
+    /// Records a gatekeeper's ping.
     pub fn on_ping(&mut self, now: Millis, id: SessionId) {
         if let Some(session) = self.sessions.get_mut(&id) {
-            session.heard = now;
+            session.last_heard = now;
         }
     }
 
-    /// Names of the gatekeepers with these lives that are heard.
-    pub fn names(&self, now: Millis, lives: &[u64]) -> Vec<String> {
-        let heard = self.sessions.values().filter(|s| now < s.heard + HEARD);
-        let meant = heard.filter(|s| lives.contains(&s.life));
-        meant.map(|s| s.name.clone()).collect()
+    /// The names of the connected gatekeepers among these incarnations.
+    pub fn names(&self, now: Millis, incarnations: &[u64]) -> Vec<String> {
+        let connected = self.sessions.values().filter(|s| now < s.last_heard + SESSION_TIMEOUT);
+        let matching = connected.filter(|s| incarnations.contains(&s.incarnation));
+        matching.map(|s| s.name.clone()).collect()
     }
 
-    /// How many of all sessions have this configuration in force.
+    /// The number of sessions whose gatekeeper has this configuration or a newer one in force, and the
+    /// number of all sessions.
     pub fn have(&self, version: u32) -> (usize, usize) {
         (self.sessions.values().filter(|s| !s.is_behind(version)).count(), self.sessions.len())
     }
 
-    /// A configuration can't be lost any more: those whose home is here are told at once, the others if they have not
-    /// got it soon.
+    /// Distributes a committed configuration: gatekeepers attached to this marker get it at once, the others
+    /// after a delay if they still lack it.
     pub fn configure(&mut self, now: Millis, document: &Arc<Document>, out: &mut Vec<Output>) {
-        self.pushes.newest(document);
+        self.pushes.set_newest(document);
         let mut at_once = Vec::new();
         for (id, session) in &mut self.sessions {
-            if session.home {
+            if session.is_attached {
                 at_once.push(*id);
             } else if session.is_behind(document.version) {
-                session.due = session.due.or(Some(now + OTHERS));
+                session.due_at = session.due_at.or(Some(now + ATTACHED_HEAD_START));
             }
         }
         at_once.into_iter().for_each(|id| self.push(id, out));
     }
 
-    /// Time passes: those that are told now have not got it from their homes.
+    /// Sends the newest configuration to the gatekeepers that have not got it from their attached markers in
+    /// time.
     pub fn on_tick(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let due = self.sessions.iter().filter(|(_, s)| s.due.is_some_and(|due| now >= due));
+        let due = self.sessions.iter().filter(|(_, s)| s.due_at.is_some_and(|due| now >= due));
         let due: Vec<SessionId> = due.map(|(id, _)| *id).collect();
         due.into_iter().for_each(|id| self.push(id, out));
     }
 
-    /// Tells one the newest configuration, unless it has it or was told.
+    /// Sends a gatekeeper the newest configuration, unless it has it already or another one is still
+    /// unacknowledged.
     fn push(&mut self, id: SessionId, out: &mut Vec<Output>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        session.due = None;
-        session.waits = session.carrier > session.got;
-        if session.waits {
+        session.due_at = None;
+        session.is_held_back = session.carrier_number > session.last_acknowledged;
+        if session.is_held_back {
             return;
         }
         let Some(newest) = self.pushes.revision().filter(|newest| session.is_behind(newest.version)) else {
             return;
         };
-        // What is on its way here has come by then; from elsewhere it may have newer.
-        let base = session.told.max(session.has);
+        // What was sent over this session has arrived before this message does; from another marker the
+        // gatekeeper may have something newer.
+        let base = session.last_configuration.max(session.in_force);
         if base == Some(newest) {
             return;
         }
-        if let Some(news) = self.pushes.news(base) {
-            self.carry(id, newest, news, out);
+        if let Some(news) = self.pushes.update_for(base) {
+            self.send_configuration(id, newest, news, out);
         }
     }
 
-    /// Tells one a configuration.
-    fn carry(&mut self, id: SessionId, newest: Revision, news: News, out: &mut Vec<Output>) {
+    /// Sends a gatekeeper a message that carries a configuration, and records which one.
+    fn send_configuration(&mut self, id: SessionId, newest: Revision, news: News, out: &mut Vec<Output>) {
         self.tell(id, news, out);
         if let Some(session) = self.sessions.get_mut(&id) {
-            (session.told, session.carrier) = (Some(newest), session.sent);
+            (session.last_configuration, session.carrier_number) = (Some(newest), session.last_sent);
         }
     }
 
-    /// Tells one.
+    /// Sends a gatekeeper a numbered message.
     pub fn tell(&mut self, id: SessionId, news: News, out: &mut Vec<Output>) {
         if let Some(session) = self.sessions.get_mut(&id) {
-            session.sent += 1;
-            out.push(Output::Tell(id, Down::News(session.sent, news)));
+            session.last_sent += 1;
+            out.push(Output::Tell(id, Down::News(session.last_sent, news)));
         }
     }
 
-    /// Tells all.
+    /// Sends all gatekeepers a message.
     pub fn tell_all(&mut self, news: &News, out: &mut Vec<Output>) {
         let ids: Vec<SessionId> = self.sessions.keys().copied().collect();
         for id in ids {
@@ -227,90 +240,92 @@
         }
     }
 
-    /// A gatekeeper has taken in all news up to this number.
+    /// A gatekeeper acknowledges all messages up to this number.
     pub fn on_got(&mut self, id: SessionId, number: u64, out: &mut Vec<Output>) {
         if let Some(session) = self.sessions.get_mut(&id) {
-            session.got = session.got.max(number.min(session.sent));
-            let got = session.got;
+            session.last_acknowledged = session.last_acknowledged.max(number.min(session.last_sent));
+            let acknowledged = session.last_acknowledged;
             for wait in &mut self.waits {
-                if wait.sessions.get(&id).is_some_and(|sent| *sent <= got) {
+                if wait.sessions.get(&id).is_some_and(|sent| *sent <= acknowledged) {
                     wait.sessions.remove(&id);
                 }
             }
-            let waits = session.waits;
-            if waits {
+            let is_held_back = session.is_held_back;
+            if is_held_back {
                 self.push(id, out);
             }
         }
     }
 
-    /// A gatekeeper has a configuration in force.
+    /// A gatekeeper reports the configuration that it has in force.
     pub fn on_has(&mut self, id: SessionId, has: Revision) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        session.has = session.has.max(Some(has));
+        session.in_force = session.in_force.max(Some(has));
         let newest = self.pushes.revision();
         if newest.is_some_and(|newest| !session.is_behind(newest.version)) {
-            session.due = None;
+            session.due_at = None;
         }
     }
 
-    /// A gatekeeper can't apply a change, as something else is in force there: it is told the newest whole.
+    /// A gatekeeper can't apply a difference, as it has another configuration in force: it is sent the whole
+    /// newest one.
     pub fn on_lacks(&mut self, id: SessionId, has: Option<Revision>, out: &mut Vec<Output>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        (session.has, session.told, session.due) = (has, None, None);
+        (session.in_force, session.last_configuration, session.due_at) = (has, None, None);
         let newest = self.pushes.revision().filter(|newest| session.is_behind(newest.version));
-        if let (Some(newest), Some(news)) = (newest, self.pushes.news(None)) {
-            self.carry(id, newest, news, out);
+        if let (Some(newest), Some(news)) = (newest, self.pushes.update_for(None)) {
+            self.send_configuration(id, newest, news, out);
         }
     }
 
-    /// Whether this marker is a gatekeeper's home.
-    pub fn on_home(&mut self, id: SessionId, home: bool) {
+    /// Records whether a gatekeeper is attached to this marker.
+    pub fn on_home(&mut self, id: SessionId, is_attached: bool) {
         if let Some(session) = self.sessions.get_mut(&id) {
-            session.home = home;
+            session.is_attached = is_attached;
         }
     }
 
-    /// Waits until all gatekeepers with sessions here know what they were told so far, and these markers say the
-    /// same of theirs. Gives the ticket under which the markers are to say so.
+    /// Starts a wait until all gatekeepers with sessions here have acknowledged what was sent to them so
+    /// far, and these markers have confirmed the same for theirs. Returns the ticket for those
+    /// confirmations.
     pub fn wait(&mut self, now: Millis, waiter: Waiter, markers: &[Ipv4Addr]) -> u64 {
         let ticket = self.ticket();
-        let behind = self.sessions.iter().filter(|(_, s)| s.got < s.sent);
-        let sessions = behind.map(|(id, s)| (*id, s.sent)).collect();
+        let behind = self.sessions.iter().filter(|(_, s)| s.last_acknowledged < s.last_sent);
+        let sessions = behind.map(|(id, s)| (*id, s.last_sent)).collect();
         let markers = markers.iter().copied().collect();
-        let until = match waiter {
-            Waiter::Call(_) => now + KNOWN,
-            Waiter::Marker(..) => now + KNOWN_HERE,
+        let deadline = match waiter {
+            Waiter::Call(_) => now + CALL_WAIT,
+            Waiter::Marker(..) => now + FORWARDED_WAIT,
         };
-        self.waits.push(Wait { waiter, sessions, markers, told: BTreeSet::new(), ticket, until });
+        self.waits.push(Wait { waiter, sessions, markers, confirmed: BTreeSet::new(), ticket, deadline });
         ticket
     }
 
-    /// A ticket under which another marker says that it has something, where nobody waits for it.
+    /// A new ticket under which another marker can confirm something that no call waits for.
     pub fn ticket(&mut self) -> u64 {
-        self.ticket += 1;
-        self.ticket
+        self.last_ticket += 1;
+        self.last_ticket
     }
 
-    /// All gatekeepers of another marker know what it was told under this ticket.
+    /// Another marker confirms that all its gatekeepers know what was sent to it under this ticket.
     pub fn on_told(&mut self, from: Ipv4Addr, ticket: u64) {
         for wait in self.waits.iter_mut().filter(|wait| wait.ticket == ticket) {
             wait.markers.remove(&from);
-            wait.told.insert(from);
+            wait.confirmed.insert(from);
         }
     }
 
-    /// Those who wait no longer: because all know, or because somebody is not in touch; and which markers have said that
-    /// all there know.
+    /// Removes the waits that are over, because all have confirmed or because the time is up. Returns each
+    /// waiter with the markers that have confirmed.
     pub fn known(&mut self, now: Millis) -> Vec<(Waiter, BTreeSet<Ipv4Addr>)> {
-        let mut known = Vec::new();
+        let mut finished = Vec::new();
         self.waits.retain_mut(|wait| {
-            let ends = (wait.sessions.is_empty() && wait.markers.is_empty()) || now >= wait.until;
-            if ends {
-                known.push((wait.waiter, std::mem::take(&mut wait.told)));
+            let is_over = (wait.sessions.is_empty() && wait.markers.is_empty()) || now >= wait.deadline;
+            if is_over {
+                finished.push((wait.waiter, std::mem::take(&mut wait.confirmed)));
             }
-            !ends
+            !is_over
         });
-        known
+        finished
     }
 }
--- a/crates/marker/src/tally.rs
+++ b/crates/marker/src/tally.rs
@@ -1,101 +1,116 @@
-//! Totals of what gatekeepers let in, by tenant: batched adds come in, totals go out.
+//! Totals of the requests that gatekeepers admitted, by tenant, for the quotas: batched usage comes in,
+//! totals go out.
 //!
-//! Totals count up from this marker's start. A gatekeeper takes from them how much the others have added since it
-//! last looked, and holds that against its own clock: no clock is shared, and a marker that starts again begins at 0
-//! without harm. What was let in of late is told first to whoever makes this marker its home: it begins from that, and
-//! not from a full store.
+//! Totals count up from this marker's start. A gatekeeper derives from them how much the others have added
+//! since the last update, and enters that at the time of its own clock: no clock is shared, and a marker
+//! that restarts can begin at 0. A gatekeeper that attaches to this marker is first sent the recent use, so
+//! that it does not start with a full quota.
 
 use crate::parts::{Millis, SessionId};
 use granitelead_common::recent_use::{Known, RecentUse};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tenants that are counted at once.
+/// Maximum number of tenants with a total.
 const TENANTS_MAX: usize = 100_000;
 
-/// For how long after something was added it is told that nothing was since, and how often.
-const LATELY: Millis = 3_000;
-const AGAIN: Millis = 100;
+/// For how long after the last usage report empty updates are still sent, ms.
+const EMPTY_UPDATES_FOR: Millis = 3_000;
+/// Interval between empty updates, ms.
+const EMPTY_UPDATE_INTERVAL: Millis = 100;
 
-/// Tenants with their totals, and the part of whoever is told.
+/// Tenants, each with its total and with the receiver's own part of that.
 pub type Totals = Vec<(String, u64, u64)>;
 
 #[derive(Default)]
-struct Told {
-    life: u64,
-    /// Its own part of the totals, by tenant.
+struct Gatekeeper {
+    incarnation: u64,
+    /// The usage of this gatekeeper itself, by tenant.
     own: BTreeMap<String, u64>,
-    number: u64,
-    /// Whether something changed that it has to know.
-    changed: BTreeSet<String>,
-    new_number: bool,
-    /// Whether it is to be told what was let in of late.
-    begins: bool,
-    sent: Millis,
+    last_number: u64,
+    /// The tenants whose totals have changed since the last update.
+    changed_tenants: BTreeSet<String>,
+    has_new_number: bool,
+    /// Whether it has still to be sent the recent use.
+    needs_recent_use: bool,
+    last_sent: Millis,
 }
 
-/// The quotas' window where the settings name none, ms.
-const WINDOW: Millis = 5_000;
+/// The quota window where the settings name none, ms.
+const DEFAULT_WINDOW: Millis = 5_000;
 
-/// Totals of all tenants.
+/// The totals of all tenants, and the gatekeepers attached to this marker.
 pub struct Tally {
     totals: BTreeMap<String, u64>,
     recent: RecentUse,
-    part: f64,
-    homes: BTreeMap<SessionId, Told>,
-    /// What came from sessions here since the other markers were told.
+    quota_fraction: f64,
+    gatekeepers: BTreeMap<SessionId, Gatekeeper>,
+    /// Usage reported here that the other markers were not sent yet.
     batch: BTreeMap<String, u64>,
-    /// Whether anything was added since the totals were last told, and when anything was.
-    added: bool,
+    /// Whether usage was reported since the last updates; `added_at` is the time of the first updates after
+    /// the last report.
+    has_new_usage: bool,
     added_at: Millis,
 }
 
 impl Default for Tally {
     fn default() -> Tally {
-        Tally::new(WINDOW, 0)
+        Tally::new(DEFAULT_WINDOW, 0)
     }
 }
 
 impl Tally {
-    /// Nothing was added yet; quotas are judged by such a window, ms.
+    /// Creates empty totals; `window` is the quota window, ms.
     pub fn new(window: Millis, now: Millis) -> Tally {
         Tally {
             totals: BTreeMap::new(),
             recent: RecentUse::new(window, now),
-            part: 0.0,
-            homes: BTreeMap::new(),
+            quota_fraction: 0.0,
+            gatekeepers: BTreeMap::new(),
             batch: BTreeMap::new(),
-            added: false,
+            has_new_usage: false,
             added_at: 0,
         }
     }
 
-    /// A gatekeeper makes this marker its home.
-    pub fn open(&mut self, session: SessionId, life: u64) {
-        // It is told at once, also that there is nothing: until then it knows nothing of the others.
-        let changed = self.totals.keys().cloned().collect();
-        let told = Told { life, changed, new_number: true, begins: true, ..Told::default() };
-        self.homes.insert(session, told);
+    /// A gatekeeper attaches to this marker.
+    pub fn open(&mut self, session: SessionId, incarnation: u64) {
+        // It gets an update at once, even an empty one: until then it knows nothing of the other
+        // gatekeepers.
+        let changed_tenants = self.totals.keys().cloned().collect();
+        let gatekeeper = Gatekeeper {
+            incarnation,
+            changed_tenants,
+            has_new_number: true,
+            needs_recent_use: true,
+            ..Gatekeeper::default()
+        };
+        self.gatekeepers.insert(session, gatekeeper);
     }
 
-    /// It has another home, or has gone.
+    /// A gatekeeper has attached to another marker, or has gone.
     pub fn close(&mut self, session: SessionId) {
-        self.homes.remove(&session);
+        self.gatekeepers.remove(&session);
     }
 
-    /// The lives whose home is here.
+    /// The incarnations of the gatekeepers attached to this marker.
     pub fn lives(&self) -> Vec<u64> {
-        self.homes.values().map(|told| told.life).collect()
+        self.gatekeepers.values().map(|gatekeeper| gatekeeper.incarnation).collect()
     }
 
-    /// Adds of a gatekeeper, under a number that rises.
+    /// Takes in the usage of a gatekeeper since its last report, under a rising sequence number: repeated
+    /// reports are ignored.
     pub fn on_adds(&mut self, now: Millis, session: SessionId, number: u64, adds: &[(String, u64)]) {
-        let Some(told) = self.homes.get_mut(&session).filter(|told| number > told.number) else { return };
-        (told.number, told.new_number) = (number, true);
+        let Some(gatekeeper) =
+            self.gatekeepers.get_mut(&session).filter(|gatekeeper| number > gatekeeper.last_number)
+        else {
+            return;
+        };
+        (gatekeeper.last_number, gatekeeper.has_new_number) = (number, true);
         for (tenant, n) in adds {
-            if let Some(own) = told.own.get_mut(tenant) {
+            if let Some(own) = gatekeeper.own.get_mut(tenant) {
                 *own += n;
-            } else if told.own.len() < TENANTS_MAX {
-                told.own.insert(tenant.clone(), *n);
+            } else if gatekeeper.own.len() < TENANTS_MAX {
+                gatekeeper.own.insert(tenant.clone(), *n);
             }
             if self.batch.contains_key(tenant) || self.batch.len() < TENANTS_MAX {
                 *self.batch.entry(tenant.clone()).or_default() += n;
@@ -104,64 +119,67 @@
         self.count(now, adds);
     }
 
-    /// Adds that another marker has taken in.
+    /// Takes in usage that was reported to another marker.
     pub fn count(&mut self, now: Millis, adds: &[(String, u64)]) {
-        self.added |= !adds.is_empty();
+        self.has_new_usage |= !adds.is_empty();
         for (tenant, n) in adds {
             if self.totals.len() >= TENANTS_MAX && !self.totals.contains_key(tenant) {
                 continue;
             }
             *self.totals.entry(tenant.clone()).or_default() += n;
             self.recent.add(now, tenant, *n);
-            for told in self.homes.values_mut() {
-                told.changed.insert(tenant.clone());
+            for gatekeeper in self.gatekeepers.values_mut() {
+                gatekeeper.changed_tenants.insert(tenant.clone());
             }
         }
     }
 
-    /// What the other markers have to be told.
+    /// Takes the usage that the other markers have still to be sent.
     pub fn batch(&mut self) -> Vec<(String, u64)> {
         std::mem::take(&mut self.batch).into_iter().collect()
     }
 
-    /// Such a part of each quota is that of the gatekeepers that are heard.
-    pub fn grant(&mut self, now: Millis, part: f64) {
-        self.part = part;
-        self.recent.grant(now, part);
+    /// Sets the fraction of each quota that the reachable gatekeepers share.
+    pub fn grant(&mut self, now: Millis, fraction: f64) {
+        self.quota_fraction = fraction;
+        self.recent.grant(now, fraction);
     }
 
-    /// What those that have made this marker their home since the last time are told first: what was let in of late.
+    /// Returns the recent use, once for each gatekeeper that has attached to this marker since the last
+    /// call.
     pub fn beginnings(&mut self, now: Millis) -> Vec<(SessionId, Known)> {
-        let begin = self
-            .homes
-            .iter_mut()
-            .filter_map(|(session, told)| std::mem::take(&mut told.begins).then_some(*session));
-        let begin: Vec<SessionId> = begin.collect();
-        if begin.is_empty() {
+        let new = self.gatekeepers.iter_mut().filter_map(|(session, gatekeeper)| {
+            std::mem::take(&mut gatekeeper.needs_recent_use).then_some(*session)
+        });
+        let new: Vec<SessionId> = new.collect();
+        if new.is_empty() {
             return Vec::new();
         }
-        let recent = self.recent.known(now, self.part);
-        begin.into_iter().map(|session| (session, recent.clone())).collect()
+        let recent = self.recent.known(now, self.quota_fraction);
+        new.into_iter().map(|session| (session, recent.clone())).collect()
     }
 
-    /// What each gatekeeper has to be told: the number of its newest adds, and tenants with total and own part.
-    /// For a time after something was added also that nothing was since: those who wait for room must know.
+    /// Returns the due updates: for each gatekeeper the number of its newest usage report, and the changed
+    /// tenants with total and own part. For a time after the last report empty updates follow as well:
+    /// gatekeepers that wait for quota must learn that nothing was added.
     pub fn news(&mut self, now: Millis) -> Vec<(SessionId, u64, Totals)> {
-        if std::mem::take(&mut self.added) {
+        if std::mem::take(&mut self.has_new_usage) {
             self.added_at = now;
         }
-        let (totals, quiet) = (&self.totals, now >= self.added_at + LATELY);
-        let due = self.homes.iter_mut().filter(|(_, told)| {
-            told.new_number || !told.changed.is_empty() || !(quiet || now < told.sent + AGAIN)
+        let (totals, quiet) = (&self.totals, now >= self.added_at + EMPTY_UPDATES_FOR);
+        let due = self.gatekeepers.iter_mut().filter(|(_, gatekeeper)| {
+            gatekeeper.has_new_number
+                || !gatekeeper.changed_tenants.is_empty()
+                || !(quiet || now < gatekeeper.last_sent + EMPTY_UPDATE_INTERVAL)
         });
-        due.map(|(session, told)| {
-            (told.new_number, told.sent) = (false, now);
-            let changed = std::mem::take(&mut told.changed).into_iter();
-            let news = changed.map(|tenant| {
-                let (total, own) = (totals.get(&tenant), told.own.get(&tenant));
+        due.map(|(session, gatekeeper)| {
+            (gatekeeper.has_new_number, gatekeeper.last_sent) = (false, now);
+            let tenants = std::mem::take(&mut gatekeeper.changed_tenants).into_iter();
+            let totals_of_changed = tenants.map(|tenant| {
+                let (total, own) = (totals.get(&tenant), gatekeeper.own.get(&tenant));
                 (tenant, total.copied().unwrap_or(0), own.copied().unwrap_or(0))
             });
-            (*session, told.number, news.collect())
+            (*session, gatekeeper.last_number, totals_of_changed.collect())
         })
         .collect()
     }
@@ -177,7 +195,7 @@
     }
 
     #[gtest]
-    fn totals_hold_what_all_added_and_adds_that_come_twice_count_once() {
+    fn totals_include_all_usage_and_count_repeated_reports_once() {
         let (mut here, mut there) = (Tally::default(), Tally::default());
         here.open(1, 11);
         here.open(2, 12);
--- a/crates/marker/tests/pushes.rs
+++ b/crates/marker/tests/pushes.rs
@@ -1,4 +1,4 @@
-//! What waits on sessions for gatekeepers that take in slowly, and for those that there is no room for.
+//! Configuration pushes to slow gatekeepers, and the limit on sessions.
 
 use googletest::prelude::*;
 use granitelead_control_protocol::words::{Document, Down, News, Revision};
@@ -11,12 +11,12 @@
 }
 
 fn open(sessions: &mut Sessions, id: u64, out: &mut Vec<Output>) {
-    let sure = document(1);
-    sessions.open(0, id, id, format!("g{id}"), None, Some(&sure), Vec::new(), Vec::new(), "a", out);
+    let committed = document(1);
+    sessions.open(0, id, id, format!("g{id}"), None, Some(&committed), Vec::new(), Vec::new(), "a", out);
     sessions.on_home(id, true);
 }
 
-/// The configurations that were sent to a session, by the number of the news and by version, or that it was ended.
+/// The configurations that were sent to a session, as message number and version.
 fn sent(out: &[Output], to: u64) -> Vec<(u64, u32)> {
     let of = |output: &Output| match output {
         Output::Tell(id, Down::News(number, News::Configuration(d))) if *id == to => {
@@ -28,10 +28,10 @@
     out.iter().filter_map(of).collect()
 }
 
-/// A storm of changes over a slow link: markers sent each, ever more waited for those that had not read, and at the
-/// end of their memory three of them ended.
+/// Guards against unbounded queues: under frequent changes and a slow link, markers sent every version,
+/// messages piled up for gatekeepers that did not read them, and three markers ran out of memory.
 #[gtest]
-fn to_one_that_takes_in_slowly_one_configuration_is_on_its_way_and_then_the_newest_alone() {
+fn a_slow_gatekeeper_has_one_unacknowledged_configuration_and_then_gets_only_the_newest() {
     let (mut sessions, mut out) = (Sessions::default(), Vec::new());
     open(&mut sessions, 1, &mut out);
     expect_that!(sent(&out, 1), elements_are![eq(&(1, 1))]);
@@ -39,27 +39,28 @@
         sessions.configure(u64::from(version) * 100, &document(version), &mut out);
         sessions.on_tick(u64::from(version) * 100 + 50, &mut out);
     }
-    // Nothing is taken in: nothing more is sent.
+    // Without an acknowledgement nothing more is sent.
     expect_that!(sent(&out, 1), elements_are![eq(&(1, 1))]);
     out.clear();
     sessions.on_got(1, 1, &mut out);
     sessions.on_has(1, Revision { version: 1, ..document(1).revision() });
     let newest = sent(&out, 1);
     expect_that!(newest, elements_are![(anything(), eq(&299))]);
-    // It takes that in, and is told no more.
+    // The gatekeeper acknowledges that and is sent nothing more.
     out.clear();
     sessions.on_has(1, document(299).revision());
     sessions.on_got(1, newest[0].0, &mut out);
     sessions.on_tick(40_000, &mut out);
     expect_that!(sent(&out, 1), is_empty());
-    // The next change goes out at once again.
+    // The next change is sent at once again.
     sessions.configure(40_000, &document(300), &mut out);
     expect_that!(sent(&out, 1), elements_are![(anything(), eq(&300))]);
 }
 
-/// Its line stood, it was told nothing over it, and its pings were answered: it took that for a session.
+/// Guards against a gatekeeper that takes a connection for a session: it stayed open beyond the limit, was
+/// sent nothing, and its pings were answered.
 #[gtest]
-fn a_gatekeeper_for_which_there_is_no_room_is_sent_away() {
+fn a_session_beyond_the_limit_is_closed() {
     let (mut sessions, mut out) = (Sessions::default(), Vec::new());
     for id in 0..SESSIONS_MAX as u64 {
         open(&mut sessions, id, &mut out);
