--- a/crates/marker/src/duties.rs
+++ b/crates/marker/src/duties.rs
@@ -16,7 +16,7 @@
 
 use crate::agreement::most;
 use crate::parts::Millis;
-use granitelead_control_protocol::words::{Duty, Node, Number};
+use granitelead_control_protocol::messages::{Duty, Node, ProposalNumber};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// All duties.
@@ -29,16 +29,16 @@
 const ELECTION_TIMEOUT: Millis = 600;
 
 struct Election {
-    number: Number,
+    number: ProposalNumber,
     started: Millis,
     votes: BTreeSet<Node>,
 }
 
 #[derive(Default)]
 struct DutyState {
-    holder: Option<(Node, Number, Millis)>,
+    holder: Option<(Node, ProposalNumber, Millis)>,
     highest_round: u64,
-    held: Option<Number>,
+    held: Option<ProposalNumber>,
     election: Option<Election>,
     next_election: Millis,
 }
@@ -46,7 +46,7 @@
 /// One marker's view of all duties: their holders, its promises and its own elections.
 pub struct Duties {
     me: Node,
-    promised: BTreeMap<Duty, Number>,
+    promised: BTreeMap<Duty, ProposalNumber>,
     states: BTreeMap<Duty, DutyState>,
     rng: fastrand::Rng,
 }
@@ -54,7 +54,7 @@
 impl Duties {
     /// Creates the state of a marker that made these promises before; `seed` fixes the random election
     /// delays.
-    pub fn new(me: Node, promised: BTreeMap<Duty, Number>, seed: u64, now: Millis) -> Duties {
+    pub fn new(me: Node, promised: BTreeMap<Duty, ProposalNumber>, seed: u64, now: Millis) -> Duties {
         let mut rng = fastrand::Rng::with_seed(seed);
         // Waits long enough for an existing holder's heartbeat to arrive first.
         let state = |duty| {
@@ -71,22 +71,22 @@
     }
 
     /// The highest proposal number promised for each duty, which must be persistent.
-    pub fn ballots(&self) -> &BTreeMap<Duty, Number> {
+    pub fn ballots(&self) -> &BTreeMap<Duty, ProposalNumber> {
         &self.promised
     }
 
     /// The duties that this marker holds, with their numbers.
-    pub fn mine(&self) -> Vec<(Duty, Number)> {
+    pub fn mine(&self) -> Vec<(Duty, ProposalNumber)> {
         self.states.iter().filter_map(|(duty, state)| state.held.map(|number| (*duty, number))).collect()
     }
 
     /// The number under which this marker holds a duty, if it does.
-    pub fn held(&self, duty: Duty) -> Option<Number> {
+    pub fn held(&self, duty: Duty) -> Option<ProposalNumber> {
         self.states.get(&duty).and_then(|state| state.held)
     }
 
     /// The holder of each duty, as far as this marker knows.
-    pub fn holders(&self, now: Millis) -> Vec<(Duty, Option<(Node, Number)>)> {
+    pub fn holders(&self, now: Millis) -> Vec<(Duty, Option<(Node, ProposalNumber)>)> {
         let holder = |state: &DutyState| match state.held {
             Some(number) => Some((self.me, number)),
             None => state
@@ -99,7 +99,7 @@
 
     /// Whether an action under this number is still valid, that is, no higher number was promised. A higher
     /// number than any before is remembered, and ends this marker's own hold or election under a lower one.
-    pub fn allows(&mut self, duty: Duty, number: Number) -> bool {
+    pub fn allows(&mut self, duty: Duty, number: ProposalNumber) -> bool {
         let promised = self.promised.entry(duty).or_default();
         let allowed = number >= *promised;
         *promised = number.max(*promised);
@@ -118,7 +118,7 @@
     }
 
     /// Takes in the duties that another marker names in its heartbeat.
-    pub fn on_hear(&mut self, now: Millis, from: Node, duties: &[(Duty, Number)]) {
+    pub fn on_hear(&mut self, now: Millis, from: Node, duties: &[(Duty, ProposalNumber)]) {
         for (duty, number) in duties {
             if self.allows(*duty, *number) {
                 if let Some(state) = self.states.get_mut(duty) {
@@ -136,7 +136,7 @@
 
     /// Handles a candidate's request for a vote. Returns whether to vote for it; the promise must be on disk
     /// before the vote is sent.
-    pub fn on_ballot(&mut self, now: Millis, from: Node, duty: Duty, number: Number) -> bool {
+    pub fn on_ballot(&mut self, now: Millis, from: Node, duty: Duty, number: ProposalNumber) -> bool {
         let other_holds = |state: &DutyState| {
             let other = state.holder.is_some_and(|(node, _, at)| node != from && now < at + HOLDER_TIMEOUT);
             other || state.held.is_some()
@@ -154,7 +154,7 @@
     }
 
     /// Counts a vote of a core marker for this one.
-    pub fn on_vote(&mut self, now: Millis, from: Node, duty: Duty, number: Number, core: &[Node]) {
+    pub fn on_vote(&mut self, now: Millis, from: Node, duty: Duty, number: ProposalNumber, core: &[Node]) {
         let Some(state) = self.states.get_mut(&duty) else { return };
         let Some(election) = state.election.as_mut().filter(|election| election.number == number) else {
             return;
@@ -173,7 +173,7 @@
     /// Advances to `now`. `may` says whether this marker is eligible: it belongs to the core and hears a
     /// majority of it. Returns the elections that it starts: its own vote must be on disk before it asks
     /// others for theirs.
-    pub fn on_tick(&mut self, now: Millis, may: bool) -> Vec<(Duty, Number)> {
+    pub fn on_tick(&mut self, now: Millis, may: bool) -> Vec<(Duty, ProposalNumber)> {
         let mut started = Vec::new();
         for (duty, state) in &mut self.states {
             if !may {
@@ -200,7 +200,7 @@
                 continue;
             }
             let promised = self.promised.entry(*duty).or_default();
-            let number = Number { round: state.highest_round.max(promised.round) + 1, by: self.me.folder };
+            let number = ProposalNumber { round: state.highest_round.max(promised.round) + 1, by: self.me.folder };
             (*promised, state.highest_round) = (number, number.round);
             state.election = Some(Election { number, started: now, votes: BTreeSet::new() });
             started.push((*duty, number));
@@ -252,7 +252,7 @@
         // No marker starts an election while the holder is heard, and the next number is higher.
         expect_true!(a.on_tick(2_200, true).is_empty());
         expect_false!(
-            c.on_ballot(1_600, core[0], DUTY, Number { round: 9, by: 1 }) && c.holders(1_600).is_empty()
+            c.on_ballot(1_600, core[0], DUTY, ProposalNumber { round: 9, by: 1 }) && c.holders(1_600).is_empty()
         );
         expect_that!(a.on_tick(4_000, true)[0].1, gt(second));
     }
@@ -265,7 +265,7 @@
         a.on_vote(1_410, core[0], DUTY, first, &core);
         a.on_vote(1_410, core[2], DUTY, first, &core);
         // Marker a freezes; meanwhile b promises the next number on disk and is then restarted.
-        let second = Number { round: 2, by: 3 };
+        let second = ProposalNumber { round: 2, by: 3 };
         expect_true!(b.on_ballot(9_000, core[2], DUTY, second));
         let mut b = Duties::new(core[1], b.ballots().clone(), 5, 0);
         expect_false!(b.allows(DUTY, first));
--- a/crates/marker/src/parts.rs
+++ b/crates/marker/src/parts.rs
@@ -1,8 +1,8 @@
 //! Types shared by the modules of a marker: persistent state, replies to calls and output actions.
 
-use granitelead_common::kinds::Kind;
-use granitelead_control_protocol::words::{
-    Between, Document, Down, Duty, Epoch, Instance, Ledger, Node, Number,
+use granitelead_common::error_kinds::ErrorKind;
+use granitelead_control_protocol::messages::{
+    PeerMessage, Document, ToGatekeeper, Duty, Epoch, Instance, Ledger, Node, ProposalNumber,
 };
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -17,9 +17,9 @@
     /// This marker's identity.
     pub node: Node,
     /// The promise: no epoch with a lower number is accepted any more.
-    pub promised: Number,
+    pub promised: ProposalNumber,
     /// The number of the round whose copy of the state was stored last.
-    pub copied: Number,
+    pub copied: ProposalNumber,
     /// The newest epoch that was accepted.
     pub epoch: Option<Epoch>,
     /// The newest configuration that is stored here.
@@ -29,7 +29,7 @@
     /// The newest version that is known to be committed, so that it can't be lost any more.
     pub sure: Option<u32>,
     /// The highest number promised for each duty: nothing under a lower one is accepted from its holder.
-    pub ballots: BTreeMap<Duty, Number>,
+    pub ballots: BTreeMap<Duty, ProposalNumber>,
 }
 
 /// A reply to the call of a server or an operator.
@@ -44,7 +44,7 @@
     /// The call is redirected to another marker.
     Elsewhere(Ipv4Addr),
     /// The call failed, with its kind and a description.
-    Fault(Kind, String),
+    Fault(ErrorKind, String),
 }
 
 impl Reply {
@@ -64,7 +64,7 @@
     }
 
     /// A failure of this kind with a description.
-    pub fn fault(kind: Kind, what: impl ToString) -> Reply {
+    pub fn fault(kind: ErrorKind, what: impl ToString) -> Reply {
         Reply::Fault(kind, what.to_string())
     }
 }
@@ -76,9 +76,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message to another marker.
-    Send(Ipv4Addr, Between),
+    Send(Ipv4Addr, PeerMessage),
     /// Send a message to a gatekeeper.
-    Tell(SessionId, Down),
+    Tell(SessionId, ToGatekeeper),
     /// Close the session of a gatekeeper that exceeds the session limit.
     End(SessionId),
     /// Write this state to disk and report the ticket once it is durable.
--- a/crates/marker/src/pushes.rs
+++ b/crates/marker/src/pushes.rs
@@ -5,7 +5,7 @@
 //! gatekeeper that has one of them gets a difference, any other the whole. So the cost of catching up does
 //! not grow with the number of versions that were missed.
 
-use granitelead_control_protocol::words::{Difference, Document, News, Revision};
+use granitelead_control_protocol::messages::{Difference, Document, Update, Revision};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -60,13 +60,13 @@
 
     /// The message that brings a gatekeeper with the configuration `has` to the newest one; none while there
     /// is no configuration.
-    pub fn update_for(&mut self, has: Option<Revision>) -> Option<News> {
+    pub fn update_for(&mut self, has: Option<Revision>) -> Option<Update> {
         let (newest, _) = self.newest.as_ref()?;
         let known = self.predecessors.iter_mut().find(|predecessor| Some(predecessor.revision) == has);
         let change = known.and_then(|predecessor| {
             let Predecessor { document, difference, .. } = predecessor;
             difference.get_or_insert_with(|| Difference::between(document, newest)).clone()
         });
-        Some(change.map_or_else(|| News::Configuration(Document::clone(newest)), News::Change))
+        Some(change.map_or_else(|| Update::Configuration(Document::clone(newest)), Update::ConfigurationDifference))
     }
 }
--- a/crates/marker/src/registry.rs
+++ b/crates/marker/src/registry.rs
@@ -4,9 +4,9 @@
 //! later state does. An instance that has deregistered never comes back; one that was ended for missing
 //! heartbeats does with its next heartbeat.
 
-use granitelead_common::kinds::Kind;
-use granitelead_common::paths::At;
-use granitelead_control_protocol::words::{Instance, State};
+use granitelead_common::error_kinds::ErrorKind;
+use granitelead_common::validation::Cursor;
+use granitelead_control_protocol::messages::{Instance, InstanceState};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -53,10 +53,10 @@
 /// # Errors
 ///
 /// The kind of the error, and a text that names every invalid field by its path.
-pub fn read_beat(id: &str, body: &[u8]) -> Result<Instance, (Kind, String)> {
-    let value: Value = serde_json::from_slice(body).map_err(|e| (Kind::Malformed, e.to_string()))?;
-    let at = At::whole(&value);
-    let text = |at: At| {
+pub fn read_beat(id: &str, body: &[u8]) -> Result<Instance, (ErrorKind, String)> {
+    let value: Value = serde_json::from_slice(body).map_err(|e| (ErrorKind::Malformed, e.to_string()))?;
+    let at = Cursor::whole(&value);
+    let text = |at: Cursor| {
         let text = at.name();
         if text.len() > TEXT_MAX {
             at.wrong("too long");
@@ -65,11 +65,11 @@
     };
     let (information, status) = (at.field("information"), at.field("status"));
     let state = match status.field("state").text() {
-        "ready" => State::Ready,
-        "draining" => State::Draining,
+        "ready" => InstanceState::Ready,
+        "draining" => InstanceState::Draining,
         _ => {
             status.field("state").wrong("ready or draining is expected");
-            State::Draining
+            InstanceState::Draining
         }
     };
     let address = text(at.field("address"));
@@ -81,13 +81,13 @@
         service: text(information.field("service-name")),
         address,
         zone: text(information.field("zone")),
-        version: information.field("version").or("", At::text).chars().take(TEXT_MAX).collect(),
-        slots: information.field("capacity-slots").or(1, At::whole_number).clamp(1, 1 << 20) as u32,
+        version: information.field("version").or("", Cursor::text).chars().take(TEXT_MAX).collect(),
+        slots: information.field("capacity-slots").or(1, Cursor::whole_number).clamp(1, 1 << 20) as u32,
         state,
-        sequence: status.field("call-sequence").or(0, At::whole_number),
-        cold_ms: status.field("cold-remaining-ms").or(0, At::whole_number),
+        sequence: status.field("call-sequence").or(0, Cursor::whole_number),
+        cold_ms: status.field("cold-remaining-ms").or(0, Cursor::whole_number),
     };
-    at.judge(instance).map_err(|faults| (Kind::Malformed, faults.to_string()))
+    at.judge(instance).map_err(|faults| (ErrorKind::Malformed, faults.to_string()))
 }
 
 /// Whether a report about an instance is newer than what is known.
@@ -141,11 +141,11 @@
         }
         let mut changed = Vec::new();
         // An instance that had the same address before has ended.
-        if instance.state != State::Gone {
+        if instance.state != InstanceState::Gone {
             let same =
-                |e: &&mut Entry| e.instance.address == instance.address && e.instance.state != State::Gone;
+                |e: &&mut Entry| e.instance.address == instance.address && e.instance.state != InstanceState::Gone;
             for entry in self.entries.values_mut().filter(same) {
-                (entry.instance.state, entry.last_heard) = (State::Gone, now);
+                (entry.instance.state, entry.last_heard) = (InstanceState::Gone, now);
                 changed.push(entry.instance.clone());
             }
         }
@@ -166,8 +166,8 @@
             return self.take(now, Instance::ended(id));
         };
         let before = (entry.instance.state, entry.instance.sequence);
-        (entry.instance.state, entry.instance.sequence, entry.last_heard) = (State::Gone, u64::MAX, now);
-        let is_changed = before != (State::Gone, u64::MAX);
+        (entry.instance.state, entry.instance.sequence, entry.last_heard) = (InstanceState::Gone, u64::MAX, now);
+        let is_changed = before != (InstanceState::Gone, u64::MAX);
         is_changed.then(|| entry.instance.clone()).into_iter().collect()
     }
 
@@ -177,13 +177,13 @@
         let mut changed = Vec::new();
         for (id, sequence) in instances {
             let Some(entry) = self.entries.get_mut(id) else { continue };
-            if entry.instance.sequence < *sequence && entry.instance.state != State::Draining {
+            if entry.instance.sequence < *sequence && entry.instance.state != InstanceState::Draining {
                 (entry.instance.sequence, entry.last_heard, entry.is_local) = (*sequence, now, false);
-                if entry.instance.state == State::Gone {
-                    entry.instance.state = State::Ready;
+                if entry.instance.state == InstanceState::Gone {
+                    entry.instance.state = InstanceState::Ready;
                     changed.push(entry.instance.clone());
                 }
-            } else if entry.instance.state == State::Draining {
+            } else if entry.instance.state == InstanceState::Draining {
                 entry.last_heard = now;
             }
         }
@@ -199,26 +199,26 @@
 
     /// All instances that are not gone, as other markers and gatekeepers are to know them.
     pub fn all(&self) -> Vec<Instance> {
-        self.entries.values().map(|e| &e.instance).filter(|i| i.state != State::Gone).cloned().collect()
+        self.entries.values().map(|e| &e.instance).filter(|i| i.state != InstanceState::Gone).cloned().collect()
     }
 
     /// Merges a report passed on by a marker that may have been disconnected for long.
     pub fn learn(&mut self, now: Millis, report: Instance) -> Learnt {
         let known = self.entries.get(&report.id).map(|e| &e.instance);
-        let ended = known.is_some_and(|k| k.state == State::Gone && !is_newer(&report, k));
+        let ended = known.is_some_and(|k| k.state == InstanceState::Gone && !is_newer(&report, k));
         // An instance that is known only from before this start was not heard.
         let recent = self.heartbeat_interval + REPORT_DELAY;
         let has_address = |e: &Entry| {
-            let is_other = e.instance.id != report.id && e.instance.state != State::Gone;
+            let is_other = e.instance.id != report.id && e.instance.state != InstanceState::Gone;
             is_other
                 && e.instance.address == report.address
                 && e.last_heard > 0
                 && now < e.last_heard + recent
         };
-        if report.state != State::Gone && (ended || known.is_none() && self.entries.values().any(has_address))
+        if report.state != InstanceState::Gone && (ended || known.is_none() && self.entries.values().any(has_address))
         {
             let end = known.filter(|_| ended).cloned();
-            return Learnt::Ended(end.unwrap_or(Instance { state: State::Gone, ..report }));
+            return Learnt::Ended(end.unwrap_or(Instance { state: InstanceState::Gone, ..report }));
         }
         Learnt::News(self.take(now, report))
     }
@@ -227,11 +227,11 @@
     /// heartbeats may reach other markers without being reported here: no timeout can then pass its half.
     pub fn on_tick(&mut self, now: Millis, may_miss_reports: bool) {
         let half = self.timeout() / 2;
-        for entry in self.entries.values_mut().filter(|e| may_miss_reports && e.instance.state != State::Gone)
+        for entry in self.entries.values_mut().filter(|e| may_miss_reports && e.instance.state != InstanceState::Gone)
         {
             entry.last_heard = entry.last_heard.max(now.saturating_sub(half));
         }
-        self.entries.retain(|_, e| e.instance.state != State::Gone || now < e.last_heard + REMEMBER_GONE);
+        self.entries.retain(|_, e| e.instance.state != InstanceState::Gone || now < e.last_heard + REMEMBER_GONE);
     }
 
     fn timeout(&self) -> Millis {
@@ -241,16 +241,16 @@
     /// The servers whose heartbeats have timed out, already marked as gone.
     pub fn silent(&self, now: Millis) -> Vec<Instance> {
         let timeout = self.timeout();
-        let silent = |e: &&Entry| e.instance.state != State::Gone && now > e.last_heard + timeout;
+        let silent = |e: &&Entry| e.instance.state != InstanceState::Gone && now > e.last_heard + timeout;
         let ends = self.entries.values().filter(silent);
-        ends.map(|e| Instance { state: State::Gone, ..e.instance.clone() }).collect()
+        ends.map(|e| Instance { state: InstanceState::Gone, ..e.instance.clone() }).collect()
     }
 
     /// Of servers that timed out at another marker those that have not timed out here, with their newest
     /// sequence.
     pub fn heard_of(&self, now: Millis, servers: &[Instance]) -> Vec<(String, u64)> {
         let timeout = self.timeout();
-        let heard = |e: &&Entry| e.instance.state != State::Gone && now <= e.last_heard + timeout;
+        let heard = |e: &&Entry| e.instance.state != InstanceState::Gone && now <= e.last_heard + timeout;
         let here = servers.iter().filter_map(|s| self.entries.get(&s.id)).filter(heard);
         here.map(|e| (e.instance.id.clone(), e.instance.sequence)).collect()
     }
@@ -272,7 +272,7 @@
     use super::*;
     use googletest::prelude::*;
 
-    fn server(id: &str, sequence: u64, state: State) -> Instance {
+    fn server(id: &str, sequence: u64, state: InstanceState) -> Instance {
         Instance {
             id: id.into(),
             service: "s".into(),
@@ -289,22 +289,22 @@
     #[gtest]
     fn late_reports_do_not_change_a_server_that_drains_or_has_ended() {
         let mut registry = Registry::new(1_500);
-        expect_that!(registry.on_beat(0, server("x", 1, State::Ready)).len(), eq(1));
-        expect_that!(registry.on_beat(1_500, server("x", 2, State::Ready)).len(), eq(0));
-        expect_that!(registry.on_beat(2_000, server("x", 4, State::Draining)).len(), eq(1));
-        expect_that!(registry.on_beat(2_100, server("x", 3, State::Ready)).len(), eq(0));
-        expect_that!(registry.all()[0].state, eq(State::Draining));
+        expect_that!(registry.on_beat(0, server("x", 1, InstanceState::Ready)).len(), eq(1));
+        expect_that!(registry.on_beat(1_500, server("x", 2, InstanceState::Ready)).len(), eq(0));
+        expect_that!(registry.on_beat(2_000, server("x", 4, InstanceState::Draining)).len(), eq(1));
+        expect_that!(registry.on_beat(2_100, server("x", 3, InstanceState::Ready)).len(), eq(0));
+        expect_that!(registry.all()[0].state, eq(InstanceState::Draining));
         expect_that!(registry.on_leave(3_000, "x").len(), eq(1));
         expect_that!(registry.on_leave(3_000, "x").len(), eq(0));
-        expect_that!(registry.on_beat(3_100, server("x", 5, State::Ready)).len(), eq(0));
+        expect_that!(registry.on_beat(3_100, server("x", 5, InstanceState::Ready)).len(), eq(0));
         expect_true!(registry.all().is_empty());
     }
 
     #[gtest]
     fn missing_heartbeats_end_a_server_unless_reports_are_missing_and_a_heartbeat_restores_it() {
         let mut registry = Registry::new(1_500);
-        registry.on_beat(0, server("x", 1, State::Ready));
-        registry.on_beat(0, server("xx", 1, State::Ready));
+        registry.on_beat(0, server("x", 1, InstanceState::Ready));
+        registry.on_beat(0, server("xx", 1, InstanceState::Ready));
         expect_that!(registry.on_alive(7_000, &[("xx".into(), 5)]).len(), eq(0));
         registry.on_tick(8_001, true);
         expect_that!(registry.silent(8_001).len(), eq(0));
@@ -316,17 +316,17 @@
         expect_that!(registry.all().len(), eq(2));
         expect_that!(registry.end(12_002, silent)[0].id, eq("x"));
         expect_that!(registry.all().len(), eq(1));
-        expect_that!(registry.on_alive(13_000, &[("x".into(), 9)])[0].state, eq(State::Ready));
+        expect_that!(registry.on_alive(13_000, &[("x".into(), 9)])[0].state, eq(InstanceState::Ready));
         expect_that!(registry.all().len(), eq(2));
     }
 
     #[gtest]
     fn an_address_belongs_to_the_newest_instance() {
         let mut registry = Registry::new(1_500);
-        registry.on_beat(0, server("x", 7, State::Ready));
-        let changed = registry.on_beat(10, server("y", 1, State::Ready));
-        let changes: Vec<(&str, State)> = changed.iter().map(|i| (i.id.as_str(), i.state)).collect();
-        expect_that!(changes, eq(&vec![("x", State::Gone), ("y", State::Ready)]));
+        registry.on_beat(0, server("x", 7, InstanceState::Ready));
+        let changed = registry.on_beat(10, server("y", 1, InstanceState::Ready));
+        let changes: Vec<(&str, InstanceState)> = changed.iter().map(|i| (i.id.as_str(), i.state)).collect();
+        expect_that!(changes, eq(&vec![("x", InstanceState::Gone), ("y", InstanceState::Ready)]));
     }
 
     #[gtest]
@@ -334,10 +334,10 @@
         let good = r#"{"address":"10.128.0.9:8080","information":{"service-name":"h","version":"v1","zone":"z",
             "capacity-slots":2},"status":{"state":"ready","call-sequence":4,"cold-remaining-ms":0}}"#;
         let read = read_beat("i", good.as_bytes()).unwrap();
-        expect_that!((read.slots, read.sequence, read.state), eq((2, 4, State::Ready)));
+        expect_that!((read.slots, read.sequence, read.state), eq((2, 4, InstanceState::Ready)));
         let bad = good.replace("10.128.0.9:8080", "nowhere").replace("\"ready\"", "\"fine\"");
         let (kind, text) = read_beat("i", bad.as_bytes()).unwrap_err();
-        expect_that!(kind, eq(Kind::Malformed));
+        expect_that!(kind, eq(ErrorKind::Malformed));
         expect_that!(text, all!(contains_substring("address:"), contains_substring("status.state:")));
         expect_true!(read_beat("i", b"{").is_err());
     }
--- a/crates/marker/src/sessions.rs
+++ b/crates/marker/src/sessions.rs
@@ -3,7 +3,7 @@
 
 use crate::parts::{Millis, Output, SessionId};
 use crate::pushes::Pushes;
-use granitelead_control_protocol::words::{Document, Down, Instance, News, Revision};
+use granitelead_control_protocol::messages::{Document, ToGatekeeper, Instance, Update, Revision};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -127,9 +127,9 @@
             self.pushes.set_newest(document);
             self.push(id, out);
         }
-        self.tell(id, News::Servers(servers), out);
-        self.tell(id, News::Markers(markers), out);
-        self.tell(id, News::Whole(zone.to_owned()), out);
+        self.tell(id, Update::Servers(servers), out);
+        self.tell(id, Update::Markers(markers), out);
+        self.tell(id, Update::Synchronized(zone.to_owned()), out);
     }
 
     /// Removes a session; nothing waits for it any more.
@@ -217,7 +217,7 @@
     }
 
     /// Sends a gatekeeper a message that carries a configuration, and records which one.
-    fn send_configuration(&mut self, id: SessionId, newest: Revision, news: News, out: &mut Vec<Output>) {
+    fn send_configuration(&mut self, id: SessionId, newest: Revision, news: Update, out: &mut Vec<Output>) {
         self.tell(id, news, out);
         if let Some(session) = self.sessions.get_mut(&id) {
             (session.last_configuration, session.carrier_number) = (Some(newest), session.last_sent);
@@ -225,15 +225,15 @@
     }
 
     /// Sends a gatekeeper a numbered message.
-    pub fn tell(&mut self, id: SessionId, news: News, out: &mut Vec<Output>) {
+    pub fn tell(&mut self, id: SessionId, news: Update, out: &mut Vec<Output>) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.last_sent += 1;
-            out.push(Output::Tell(id, Down::News(session.last_sent, news)));
+            out.push(Output::Tell(id, ToGatekeeper::Update(session.last_sent, news)));
         }
     }
 
     /// Sends all gatekeepers a message.
-    pub fn tell_all(&mut self, news: &News, out: &mut Vec<Output>) {
+    pub fn tell_all(&mut self, news: &Update, out: &mut Vec<Output>) {
         let ids: Vec<SessionId> = self.sessions.keys().copied().collect();
         for id in ids {
             self.tell(id, news.clone(), out);
--- a/crates/marker/src/tally.rs
+++ b/crates/marker/src/tally.rs
@@ -7,7 +7,7 @@
 //! that it does not start with a full quota.
 
 use crate::parts::{Millis, SessionId};
-use granitelead_common::recent_use::{Known, RecentUse};
+use granitelead_common::recent_use::{WindowUsage, RecentUse};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Maximum number of tenants with a total.
@@ -147,7 +147,7 @@
 
     /// Returns the recent use, once for each gatekeeper that has attached to this marker since the last
     /// call.
-    pub fn beginnings(&mut self, now: Millis) -> Vec<(SessionId, Known)> {
+    pub fn beginnings(&mut self, now: Millis) -> Vec<(SessionId, WindowUsage)> {
         let new = self.gatekeepers.iter_mut().filter_map(|(session, gatekeeper)| {
             std::mem::take(&mut gatekeeper.needs_recent_use).then_some(*session)
         });
