--- a/crates/marker/src/calls.rs
+++ b/crates/marker/src/calls.rs
@@ -121,7 +121,7 @@
         }
         Reply::Elsewhere(_) => (ErrorKind::Redirected.status(), Bytes::new()),
         Reply::Fault(kind, text) => {
-            let row = kind.row();
+            let row = kind.response();
             let body = serde_json::json!({"error": row.name, "what": text, "advice": row.advice});
             (row.status, Bytes::from(body.to_string()))
         }
--- a/crates/marker/src/duties.rs
+++ b/crates/marker/src/duties.rs
@@ -14,7 +14,7 @@
 //! The primary is not one of these duties: which markers are eligible depends on the data they hold, and
 //! epochs decide it ([`crate::agreement`]).
 
-use crate::agreement::most;
+use crate::agreement::is_majority;
 use crate::parts::Millis;
 use granitelead_control_protocol::messages::{Duty, Node, ProposalNumber};
 use std::collections::{BTreeMap, BTreeSet};
@@ -160,7 +160,7 @@
             return;
         };
         election.votes.insert(from);
-        if most(core, |node| election.votes.contains(node)) {
+        if is_majority(core, |node| election.votes.contains(node)) {
             log::info!(
                 "{duty:?}: elected in round {} after {} ms",
                 number.round,
@@ -200,7 +200,10 @@
                 continue;
             }
             let promised = self.promised.entry(*duty).or_default();
-            let number = ProposalNumber { round: state.highest_round.max(promised.round) + 1, by: self.me.folder };
+            let number = ProposalNumber {
+                round: state.highest_round.max(promised.round) + 1,
+                proposer: self.me.replica_id,
+            };
             (*promised, state.highest_round) = (number, number.round);
             state.election = Some(Election { number, started: now, votes: BTreeSet::new() });
             started.push((*duty, number));
@@ -224,11 +227,11 @@
     const DUTY: Duty = Duty::Reaper;
 
     fn nodes() -> Vec<Node> {
-        (1..=3).map(|n| Node { ip: [10, 0, 0, n].into(), folder: u64::from(n) }).collect()
+        (1..=3).map(|n| Node { ip: [10, 0, 0, n].into(), replica_id: u64::from(n) }).collect()
     }
 
     fn duties(node: Node) -> Duties {
-        Duties::new(node, BTreeMap::new(), node.folder, 0)
+        Duties::new(node, BTreeMap::new(), node.replica_id, 0)
     }
 
     /// Two candidates win their first elections at once; only the one with the higher number keeps the duty,
@@ -252,7 +255,8 @@
         // No marker starts an election while the holder is heard, and the next number is higher.
         expect_true!(a.on_tick(2_200, true).is_empty());
         expect_false!(
-            c.on_ballot(1_600, core[0], DUTY, ProposalNumber { round: 9, by: 1 }) && c.holders(1_600).is_empty()
+            c.on_ballot(1_600, core[0], DUTY, ProposalNumber { round: 9, proposer: 1 })
+                && c.holders(1_600).is_empty()
         );
         expect_that!(a.on_tick(4_000, true)[0].1, gt(second));
     }
@@ -265,7 +269,7 @@
         a.on_vote(1_410, core[0], DUTY, first, &core);
         a.on_vote(1_410, core[2], DUTY, first, &core);
         // Marker a freezes; meanwhile b promises the next number on disk and is then restarted.
-        let second = ProposalNumber { round: 2, by: 3 };
+        let second = ProposalNumber { round: 2, proposer: 3 };
         expect_true!(b.on_ballot(9_000, core[2], DUTY, second));
         let mut b = Duties::new(core[1], b.ballots().clone(), 5, 0);
         expect_false!(b.allows(DUTY, first));
--- a/crates/marker/src/pushes.rs
+++ b/crates/marker/src/pushes.rs
@@ -5,7 +5,7 @@
 //! gatekeeper that has one of them gets a difference, any other the whole. So the cost of catching up does
 //! not grow with the number of versions that were missed.
 
-use granitelead_control_protocol::messages::{Difference, Document, Update, Revision};
+use granitelead_control_protocol::messages::{Difference, Document, Revision, Update};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -67,6 +67,11 @@
             let Predecessor { document, difference, .. } = predecessor;
             difference.get_or_insert_with(|| Difference::between(document, newest)).clone()
         });
-        Some(change.map_or_else(|| Update::Configuration(Document::clone(newest)), Update::ConfigurationDifference))
+        Some(
+            change.map_or_else(
+                || Update::Configuration(Document::clone(newest)),
+                Update::ConfigurationDifference,
+            ),
+        )
     }
 }
--- a/crates/marker/src/registry.rs
+++ b/crates/marker/src/registry.rs
@@ -55,11 +55,11 @@
 /// The kind of the error, and a text that names every invalid field by its path.
 pub fn read_beat(id: &str, body: &[u8]) -> Result<Instance, (ErrorKind, String)> {
     let value: Value = serde_json::from_slice(body).map_err(|e| (ErrorKind::Malformed, e.to_string()))?;
-    let at = Cursor::whole(&value);
+    let at = Cursor::root(&value);
     let text = |at: Cursor| {
         let text = at.name();
         if text.len() > TEXT_MAX {
-            at.wrong("too long");
+            at.add_error("too long");
         }
         text.to_owned()
     };
@@ -68,26 +68,26 @@
         "ready" => InstanceState::Ready,
         "draining" => InstanceState::Draining,
         _ => {
-            status.field("state").wrong("ready or draining is expected");
+            status.field("state").add_error("ready or draining is expected");
             InstanceState::Draining
         }
     };
     let address = text(at.field("address"));
     if address.parse::<std::net::SocketAddrV4>().is_err() {
-        at.field("address").wrong("an address such as 10.128.0.9:8080 is expected");
+        at.field("address").add_error("an address such as 10.128.0.9:8080 is expected");
     }
     let instance = Instance {
         id: id.to_owned(),
         service: text(information.field("service-name")),
         address,
         zone: text(information.field("zone")),
-        version: information.field("version").or("", Cursor::text).chars().take(TEXT_MAX).collect(),
-        slots: information.field("capacity-slots").or(1, Cursor::whole_number).clamp(1, 1 << 20) as u32,
+        version: information.field("version").optional("", Cursor::text).chars().take(TEXT_MAX).collect(),
+        slots: information.field("capacity-slots").optional(1, Cursor::integer).clamp(1, 1 << 20) as u32,
         state,
-        sequence: status.field("call-sequence").or(0, Cursor::whole_number),
-        cold_ms: status.field("cold-remaining-ms").or(0, Cursor::whole_number),
+        sequence: status.field("call-sequence").optional(0, Cursor::integer),
+        cold_ms: status.field("cold-remaining-ms").optional(0, Cursor::integer),
     };
-    at.judge(instance).map_err(|faults| (ErrorKind::Malformed, faults.to_string()))
+    at.finish(instance).map_err(|faults| (ErrorKind::Malformed, faults.to_string()))
 }
 
 /// Whether a report about an instance is newer than what is known.
@@ -142,8 +142,9 @@
         let mut changed = Vec::new();
         // An instance that had the same address before has ended.
         if instance.state != InstanceState::Gone {
-            let same =
-                |e: &&mut Entry| e.instance.address == instance.address && e.instance.state != InstanceState::Gone;
+            let same = |e: &&mut Entry| {
+                e.instance.address == instance.address && e.instance.state != InstanceState::Gone
+            };
             for entry in self.entries.values_mut().filter(same) {
                 (entry.instance.state, entry.last_heard) = (InstanceState::Gone, now);
                 changed.push(entry.instance.clone());
@@ -166,7 +167,8 @@
             return self.take(now, Instance::ended(id));
         };
         let before = (entry.instance.state, entry.instance.sequence);
-        (entry.instance.state, entry.instance.sequence, entry.last_heard) = (InstanceState::Gone, u64::MAX, now);
+        (entry.instance.state, entry.instance.sequence, entry.last_heard) =
+            (InstanceState::Gone, u64::MAX, now);
         let is_changed = before != (InstanceState::Gone, u64::MAX);
         is_changed.then(|| entry.instance.clone()).into_iter().collect()
     }
@@ -199,7 +201,12 @@
 
     /// All instances that are not gone, as other markers and gatekeepers are to know them.
     pub fn all(&self) -> Vec<Instance> {
-        self.entries.values().map(|e| &e.instance).filter(|i| i.state != InstanceState::Gone).cloned().collect()
+        self.entries
+            .values()
+            .map(|e| &e.instance)
+            .filter(|i| i.state != InstanceState::Gone)
+            .cloned()
+            .collect()
     }
 
     /// Merges a report passed on by a marker that may have been disconnected for long.
@@ -215,7 +222,8 @@
                 && e.last_heard > 0
                 && now < e.last_heard + recent
         };
-        if report.state != InstanceState::Gone && (ended || known.is_none() && self.entries.values().any(has_address))
+        if report.state != InstanceState::Gone
+            && (ended || known.is_none() && self.entries.values().any(has_address))
         {
             let end = known.filter(|_| ended).cloned();
             return Learnt::Ended(end.unwrap_or(Instance { state: InstanceState::Gone, ..report }));
@@ -227,11 +235,13 @@
     /// heartbeats may reach other markers without being reported here: no timeout can then pass its half.
     pub fn on_tick(&mut self, now: Millis, may_miss_reports: bool) {
         let half = self.timeout() / 2;
-        for entry in self.entries.values_mut().filter(|e| may_miss_reports && e.instance.state != InstanceState::Gone)
+        for entry in
+            self.entries.values_mut().filter(|e| may_miss_reports && e.instance.state != InstanceState::Gone)
         {
             entry.last_heard = entry.last_heard.max(now.saturating_sub(half));
         }
-        self.entries.retain(|_, e| e.instance.state != InstanceState::Gone || now < e.last_heard + REMEMBER_GONE);
+        self.entries
+            .retain(|_, e| e.instance.state != InstanceState::Gone || now < e.last_heard + REMEMBER_GONE);
     }
 
     fn timeout(&self) -> Millis {
--- a/crates/marker/src/tally.rs
+++ b/crates/marker/src/tally.rs
@@ -7,7 +7,7 @@
 //! that it does not start with a full quota.
 
 use crate::parts::{Millis, SessionId};
-use granitelead_common::recent_use::{WindowUsage, RecentUse};
+use granitelead_common::recent_use::{RecentUse, WindowUsage};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Maximum number of tenants with a total.
@@ -155,7 +155,7 @@
         if new.is_empty() {
             return Vec::new();
         }
-        let recent = self.recent.known(now, self.quota_fraction);
+        let recent = self.recent.snapshot(now, self.quota_fraction);
         new.into_iter().map(|session| (session, recent.clone())).collect()
     }
 
--- a/crates/marker/tests/callers.rs
+++ b/crates/marker/tests/callers.rs
@@ -2,7 +2,7 @@
 //! when they arrive late or repeated.
 
 use googletest::prelude::*;
-use marker::core::{begin, Core};
+use marker::core::{initial_state, Core};
 use marker::sessions::{Sessions, Waiter};
 use marker::tally::Tally;
 use std::net::Ipv4Addr;
@@ -12,7 +12,7 @@
 /// The sessions of a process that starts.
 fn sessions(seed: u64) -> Sessions {
     let me = Ipv4Addr::new(10, 0, 0, 1);
-    Sessions::new(Core::new(begin(me, &[me], true, seed), &[me], 0, seed, 0).draw())
+    Sessions::new(Core::new(initial_state(me, &[me], true, seed), &[me], 0, seed, 0).draw_nonce())
 }
 
 /// The waiters whose waits have ended.
