--- a/crates/marker/src/agreement.rs
+++ b/crates/marker/src/agreement.rs
@@ -26,7 +26,7 @@
 //! A marker that lost its data directory is a new [`Node`]: it has no vote and stores nothing until
 //! an epoch includes it.
 
-use crate::parts::Keeping;
+use crate::types::PersistentState;
 use granitelead_control_protocol::ledger::VersionState;
 use granitelead_control_protocol::messages::{
     Change, Digest, Document, Epoch, Ledger, Node, PeerMessage, ProposalNumber, Snapshot,
@@ -178,8 +178,9 @@
 
 impl Agreement {
     /// Restores a marker from its persistent state.
-    pub fn new(state: Keeping) -> Agreement {
-        let Keeping { node, promised, copied, epoch, document, ledger, sure, ballots: _ } = state;
+    pub fn new(state: PersistentState) -> Agreement {
+        let PersistentState { node, promised, copied, epoch, document, ledger, sure, duty_promises: _ } =
+            state;
         // What was committed stays so, and may be served before there is a primary again.
         let committed = document.clone().filter(|d| sure == Some(d.version));
         Agreement {
@@ -199,11 +200,11 @@
     }
 
     /// The state that must survive a restart.
-    pub fn persistent_state(&self) -> Keeping {
+    pub fn persistent_state(&self) -> PersistentState {
         // Comparing versions is not enough: two operators may have sent different contents under
         // one version.
         let sure = self.document.as_ref().filter(|d| self.committed.as_ref() == Some(d)).map(|d| d.version);
-        Keeping {
+        PersistentState {
             node: self.me,
             promised: self.promised,
             copied: self.last_copied,
@@ -211,7 +212,7 @@
             document: self.document.clone(),
             ledger: self.ledger.clone(),
             sure,
-            ballots: BTreeMap::new(),
+            duty_promises: BTreeMap::new(),
         }
     }
 
--- a/crates/marker/src/calls.rs
+++ b/crates/marker/src/calls.rs
@@ -1,8 +1,8 @@
 //! HTTP interface for servers and operators: the routes, parsing of requests into calls, and encoding of
 //! replies.
 
-use crate::parts::Reply;
 use crate::state::Call;
+use crate::types::Reply;
 use bytes::Bytes;
 use granitelead_common::configuration::BODY_MAX;
 use granitelead_common::error_kinds::ErrorKind;
@@ -21,7 +21,7 @@
 const RETRY_AFTER_S: &str = "0.3";
 
 /// The route of one call.
-pub struct Declared {
+pub struct Route {
     /// The HTTP method.
     pub method: Method,
     /// The path; if it ends with a slash, an instance name follows.
@@ -35,36 +35,36 @@
 }
 
 /// The routes of all calls.
-pub const CALLS: [Declared; 5] = [
-    Declared {
+pub const ROUTES: [Route; 5] = [
+    Route {
         method: Method::POST,
         path: "/Instances.Heartbeat/",
         body_max: SERVER_BODY_MAX,
         about: "heartbeat of a server that is ready or draining",
         build: |id, body| Call::Beat { id, body },
     },
-    Declared {
+    Route {
         method: Method::POST,
         path: "/Instances.Deregister/",
         body_max: SERVER_BODY_MAX,
         about: "deregistration of a server",
         build: |id, _| Call::Leave { id },
     },
-    Declared {
+    Route {
         method: Method::POST,
         path: "/Configuration.Replace",
         body_max: BODY_MAX,
         about: "replaces the whole configuration; the highest version wins",
         build: |_, body| Call::Replace { body },
     },
-    Declared {
+    Route {
         method: Method::GET,
         path: "/Configuration.Read",
         body_max: 0,
         about: "the newest configuration, byte for byte as it was sent",
         build: |_, _| Call::Read,
     },
-    Declared {
+    Route {
         method: Method::GET,
         path: "/System.Status",
         body_max: 0,
@@ -74,10 +74,10 @@
 ];
 
 /// Finds the route of a request, and the name at the end of its path.
-fn find(method: &Method, path: &str) -> Option<(&'static Declared, String)> {
+fn find(method: &Method, path: &str) -> Option<(&'static Route, String)> {
     // The static copy gives the returned reference a static lifetime.
-    static ROUTES: [Declared; 5] = CALLS;
-    ROUTES.iter().filter(|call| call.method == *method).find_map(|call| {
+    static TABLE: [Route; 5] = ROUTES;
+    TABLE.iter().filter(|call| call.method == *method).find_map(|call| {
         let name = path.strip_prefix(call.path)?;
         let takes_name = call.path.ends_with('/');
         let matches = if takes_name {
@@ -94,40 +94,40 @@
 /// # Errors
 ///
 /// The reply to send where the request is not a valid call.
-pub async fn read(request: Request<Incoming>) -> Result<Call, Reply> {
+pub async fn parse_request(request: Request<Incoming>) -> Result<Call, Reply> {
     let Some((call, name)) = find(request.method(), request.uri().path()) else {
-        return Err(Reply::fault(ErrorKind::Unknown, "no such call"));
+        return Err(Reply::failure(ErrorKind::Unknown, "no such call"));
     };
     let body = Limited::new(request.into_body(), call.body_max).collect();
     match tokio::time::timeout(BODY_TIMEOUT, body).await {
-        Err(_) => Err(Reply::fault(ErrorKind::TooSlow, "the body did not come in time")),
+        Err(_) => Err(Reply::failure(ErrorKind::TooSlow, "the body did not come in time")),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-            Err(Reply::fault(ErrorKind::TooLarge, format_args!("{} bytes are allowed", call.body_max)))
+            Err(Reply::failure(ErrorKind::TooLarge, format_args!("{} bytes are allowed", call.body_max)))
         }
-        Ok(Err(e)) => Err(Reply::fault(ErrorKind::Malformed, e)),
+        Ok(Err(e)) => Err(Reply::failure(ErrorKind::Malformed, e)),
         Ok(Ok(body)) => Ok((call.build)(name, body.to_bytes().into())),
     }
 }
 
 /// Encodes a reply as an HTTP response. `path` is that of the call, `control` holds the port of the markers'
 /// control API, and `last` says that the connection is to be closed.
-pub fn write(reply: Reply, path: &str, control: SocketAddrV4, last: bool) -> Response<Full<Bytes>> {
+pub fn encode_reply(reply: Reply, path: &str, control: SocketAddrV4, last: bool) -> Response<Full<Bytes>> {
     let (status, body) = match &reply {
         Reply::Json(text) => (200, Bytes::copy_from_slice(text.as_bytes())),
         Reply::Document(document) => (200, Bytes::copy_from_slice(&document.bytes)),
-        Reply::Beats(ip) => {
+        Reply::Heartbeat(ip) => {
             let body = serde_json::json!({"heartbeat-address": format!("{ip}:{}", control.port())});
             (200, Bytes::from(body.to_string()))
         }
-        Reply::Elsewhere(_) => (ErrorKind::Redirected.status(), Bytes::new()),
-        Reply::Fault(kind, text) => {
+        Reply::Redirect(_) => (ErrorKind::Redirected.status(), Bytes::new()),
+        Reply::Failure(kind, text) => {
             let row = kind.response();
             let body = serde_json::json!({"error": row.name, "what": text, "advice": row.advice});
             (row.status, Bytes::from(body.to_string()))
         }
     };
     let mut response = Response::builder().status(status).header(CONTENT_TYPE, "application/json");
-    if let Reply::Elsewhere(ip) = reply {
+    if let Reply::Redirect(ip) = reply {
         response = response.header(LOCATION, format!("http://{ip}:{}{path}", control.port()));
     }
     if status == 503 {
@@ -170,10 +170,10 @@
     #[gtest]
     fn a_failure_has_a_status_and_a_retry_time_and_a_redirect_a_location() {
         let control = SocketAddrV4::new([10, 0, 0, 1].into(), 8042);
-        let answer = write(Reply::fault(ErrorKind::Uncertain, "x"), "/y", control, false);
+        let answer = encode_reply(Reply::failure(ErrorKind::Uncertain, "x"), "/y", control, false);
         expect_that!(answer.status().as_u16(), eq(503));
         expect_true!(answer.headers().contains_key(RETRY_AFTER));
-        let answer = write(Reply::elsewhere([10, 0, 0, 4].into()), "/y", control, true);
+        let answer = encode_reply(Reply::redirect([10, 0, 0, 4].into()), "/y", control, true);
         expect_that!(answer.status().as_u16(), eq(307));
         expect_that!(answer.headers()[LOCATION].to_str().unwrap(), eq("http://10.0.0.4:8042/y"));
     }
--- a/crates/marker/src/core.rs
+++ b/crates/marker/src/core.rs
@@ -11,7 +11,7 @@
 
 use crate::agreement::{AfterWrite, Agreement, Effect};
 use crate::duties::Duties;
-use crate::parts::{Keeping, Millis, Output};
+use crate::types::{Millis, Output, PersistentState};
 use granitelead_control_protocol::messages::{
     Digest, Document, Duty, Epoch, Ledger, MarkerStatus, Node, PeerMessage, ProposalNumber,
 };
@@ -208,9 +208,9 @@
     Node { ip, replica_id: u64::from(u32::from(ip)) }
 }
 
-fn empty_state(node: Node) -> Keeping {
+fn empty_state(node: Node) -> PersistentState {
     let zero = ProposalNumber::default();
-    Keeping {
+    PersistentState {
         node,
         promised: zero,
         copied: zero,
@@ -218,7 +218,7 @@
         document: None,
         ledger: Arc::new(Ledger::default()),
         sure: None,
-        ballots: BTreeMap::new(),
+        duty_promises: BTreeMap::new(),
     }
 }
 
@@ -227,7 +227,7 @@
 /// the seeds before disks are known. Any other marker starts outside the core with the random
 /// identity `drawn`. `first_start` must be true for at most one process at an address, so that no
 /// identity is used twice.
-pub fn initial_state(ip: Ipv4Addr, seeds: &[Ipv4Addr], first_start: bool, drawn: u64) -> Keeping {
+pub fn initial_state(ip: Ipv4Addr, seeds: &[Ipv4Addr], first_start: bool, drawn: u64) -> PersistentState {
     if !(first_start && seeds.contains(&ip)) {
         return empty_state(Node { ip, replica_id: drawn | 1 << 63 });
     }
@@ -242,12 +242,12 @@
         primary: None,
     };
     let (node, epoch) = (founder(ip), Some(founding));
-    Keeping { epoch, ..empty_state(node) }
+    PersistentState { epoch, ..empty_state(node) }
 }
 
 impl Core {
     /// Creates the driver from the persistent state of this marker.
-    pub fn new(state: Keeping, seeds: &[Ipv4Addr], losses: usize, seed: u64, now: Millis) -> Core {
+    pub fn new(state: PersistentState, seeds: &[Ipv4Addr], losses: usize, seed: u64, now: Millis) -> Core {
         let mut rng = fastrand::Rng::with_seed(seed);
         // No heartbeat has been received yet, so no primary can be missed yet. The last primary,
         // which stores all committed state, starts a round soon; where there is a primary, its
@@ -259,7 +259,7 @@
         let election_timeout = STARTUP_ELECTION_TIMEOUT.0
             + if first { 0 } else { rng.u64(STARTUP_ELECTION_TIMEOUT.1..STARTUP_ELECTION_TIMEOUT.2) };
         Core {
-            duties: Duties::new(state.node, state.ballots.clone(), rng.u64(..), now),
+            duties: Duties::new(state.node, state.duty_promises.clone(), rng.u64(..), now),
             agreement: Agreement::new(state),
             seeds: seeds.to_vec(),
             losses,
@@ -328,7 +328,7 @@
 
     /// The number under which this marker holds a duty, while it hears a majority of the core.
     pub fn holds(&self, duty: Duty) -> Option<ProposalNumber> {
-        self.duties.held(duty).filter(|_| self.hears_majority())
+        self.duties.held_number(duty).filter(|_| self.hears_majority())
     }
 
     /// Whether an action by the holder of a duty under this number is still valid.
@@ -342,8 +342,11 @@
         }
         self.last_ticket += 1;
         self.follow_ups.push_back((self.last_ticket, follow_up));
-        let state = Keeping { ballots: self.duties.ballots().clone(), ..self.agreement.persistent_state() };
-        out.push(Output::Write(self.last_ticket, state));
+        let state = PersistentState {
+            duty_promises: self.duties.promises().clone(),
+            ..self.agreement.persistent_state()
+        };
+        out.push(Output::Persist(self.last_ticket, state));
     }
 
     /// Handles the completion of all writes up to this ticket.
@@ -357,12 +360,12 @@
                     self.step_agreement(out, |a, effects| a.on_written(action, effects))
                 }
                 Some((_, WriteFollowUp::Vote(to, duty, number))) => {
-                    out.push(Output::Send(to, PeerMessage::Vote(duty, number)));
+                    out.push(Output::SendToMarker(to, PeerMessage::Vote(duty, number)));
                 }
                 Some((_, WriteFollowUp::Ballot(duty, number))) => {
                     let (me, core) = (self.me(), self.core_members());
                     for node in core.iter().filter(|node| **node != me) {
-                        out.push(Output::Send(node.ip, PeerMessage::RequestVote(duty, number)));
+                        out.push(Output::SendToMarker(node.ip, PeerMessage::RequestVote(duty, number)));
                     }
                     self.duties.on_vote(self.now, me, duty, number, &core);
                 }
@@ -384,7 +387,7 @@
         while let Some(effect) = effects.pop_front() {
             let mut more = Vec::new();
             match effect {
-                Effect::Send(to, message) => out.push(Output::Send(to, message)),
+                Effect::Send(to, message) => out.push(Output::SendToMarker(to, message)),
                 Effect::Persist(action) => self.persist(WriteFollowUp::Agreement(action), out),
                 Effect::ChooseEpoch { number, newest, willing } => {
                     if let Some(next) = self.next_epoch(number, &newest, &willing) {
@@ -429,11 +432,12 @@
                 duties,
                 status,
             } => {
-                self.duties.on_hear(self.now, from, &duties);
+                self.duties.on_heartbeat(self.now, from, &duties);
                 self.on_heartbeat(from, epoch, is_primary, has_primary, committed, &reachable, status, out);
             }
             PeerMessage::RequestVote(duty, number) => {
-                if self.core_members().contains(&from) && self.duties.on_ballot(self.now, from, duty, number)
+                if self.core_members().contains(&from)
+                    && self.duties.on_vote_request(self.now, from, duty, number)
                 {
                     self.persist(WriteFollowUp::Vote(from.ip, duty, number), out);
                 }
--- a/crates/marker/src/core/heartbeats.rs
+++ b/crates/marker/src/core/heartbeats.rs
@@ -6,7 +6,7 @@
     OUTSIDE_HEARTBEAT_INTERVAL,
 };
 use crate::agreement::is_majority;
-use crate::parts::{Millis, Output};
+use crate::types::{Millis, Output};
 use granitelead_control_protocol::messages::{Document, MarkerStatus, Node, PeerMessage, ProposalNumber};
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -48,8 +48,8 @@
         let in_core = |ip: Ipv4Addr| core.iter().any(|node| node.ip == ip);
         let is_member = core.contains(&self.me());
         for ip in self.known_markers().into_iter().filter(|ip| all || is_member && in_core(*ip)) {
-            let (others, duties, standing) = (others.clone(), self.duties.mine(), standing.clone());
-            out.push(Output::Send(
+            let (others, duties, standing) = (others.clone(), self.duties.held_here(), standing.clone());
+            out.push(Output::SendToMarker(
                 ip,
                 PeerMessage::Heartbeat {
                     epoch,
@@ -174,7 +174,7 @@
         }
         let is_primary = self.agreement.leadership().is_some();
         if let Some(epoch) = self.agreement.epoch().filter(|_| is_primary && epoch < mine) {
-            out.push(Output::Send(from.ip, PeerMessage::LatestEpoch(epoch.clone())));
+            out.push(Output::SendToMarker(from.ip, PeerMessage::LatestEpoch(epoch.clone())));
         }
         let behind = self
             .agreement
@@ -188,7 +188,7 @@
                 .filter(|peer| now >= peer.committed_sent_at + 2 * HEARTBEAT_INTERVAL)
             {
                 peer.committed_sent_at = now;
-                out.push(Output::Send(from.ip, PeerMessage::Committed(Document::clone(&document))));
+                out.push(Output::SendToMarker(from.ip, PeerMessage::Committed(Document::clone(&document))));
             }
         }
     }
--- a/crates/marker/src/core/operator_calls.rs
+++ b/crates/marker/src/core/operator_calls.rs
@@ -8,7 +8,7 @@
 
 use super::{Core, PendingCall, Request, CALLS_MAX, CALL_TIMEOUT, HEARTBEAT_TIMEOUT};
 use crate::agreement::{ChangeBatch, Effect};
-use crate::parts::{Millis, Output, Reply};
+use crate::types::{Millis, Output, Reply};
 use granitelead_common::error_kinds::ErrorKind;
 use granitelead_control_protocol::ledger::VersionState;
 use granitelead_control_protocol::messages::{Digest, Document, PeerMessage};
@@ -19,10 +19,10 @@
     pub(super) fn on_committed(&mut self, document: Arc<Document>, out: &mut Vec<Output>) {
         if self.agreement.leadership().is_some() {
             for ip in self.live_markers() {
-                out.push(Output::Send(ip, PeerMessage::Committed(Document::clone(&document))));
+                out.push(Output::SendToMarker(ip, PeerMessage::Committed(Document::clone(&document))));
             }
         }
-        out.push(Output::Sure(document.clone()));
+        out.push(Output::Committed(document.clone()));
         // Also answers where another marker is primary and reports the commit. It says nothing
         // about lower versions or about other contents.
         self.answer_matching(
@@ -49,7 +49,7 @@
         let reply = match &call.request {
             Request::Read { .. } => match self.agreement.committed() {
                 Some(document) => Reply::document(document.clone()),
-                None => Reply::fault(ErrorKind::Unknown, "no configuration has been set yet"),
+                None => Reply::failure(ErrorKind::Unknown, "no configuration has been set yet"),
             },
             Request::Replace { document, digest, .. } => self.reply_from_ledger(document.version, *digest),
         };
@@ -65,7 +65,7 @@
                 log::info!("refused content {digest} for version {version:08x}, which has content {held}");
                 let what =
                     format!("version {version:08x} already has content {held}, and this content is {digest}");
-                Reply::fault(ErrorKind::Conflict, what)
+                Reply::failure(ErrorKind::Conflict, what)
             }
             VersionState::Forgotten | VersionState::Free => forgotten_version(version),
         }
@@ -104,12 +104,16 @@
     pub(super) fn on_call(&mut self, now: Millis, id: u64, request: Request, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         if self.calls.len() >= CALLS_MAX {
-            return out
-                .push(Output::Answer(id, Reply::fault(ErrorKind::Overloaded, "too many calls are waiting")));
+            return out.push(Output::Answer(
+                id,
+                Reply::failure(ErrorKind::Overloaded, "too many calls are waiting"),
+            ));
         }
         if self.standing.is_leaving && self.agreement.leadership().is_none() {
-            return out
-                .push(Output::Answer(id, Reply::fault(ErrorKind::NotReady, "this marker is shutting down")));
+            return out.push(Output::Answer(
+                id,
+                Reply::failure(ErrorKind::NotReady, "this marker is shutting down"),
+            ));
         }
         self.calls.push(PendingCall { id, request, deadline: self.now + CALL_TIMEOUT });
         self.process_calls(out);
@@ -122,14 +126,14 @@
             if expired {
                 out.push(Output::Answer(
                     call.id,
-                    Reply::fault(ErrorKind::Uncertain, "the result could not be confirmed in time"),
+                    Reply::failure(ErrorKind::Uncertain, "the result could not be confirmed in time"),
                 ));
             }
             !expired
         });
         if self.agreement.leadership().is_none() {
             if let Some((ip, _)) = self.primary.filter(|(_, at)| self.now < *at + HEARTBEAT_TIMEOUT) {
-                self.answer_matching(|_| true, out, |_| Reply::elsewhere(ip));
+                self.answer_matching(|_| true, out, |_| Reply::redirect(ip));
             }
             return;
         }
@@ -183,7 +187,7 @@
 
 /// An uncertain answer: the ledger no longer knows which content the version holds.
 fn forgotten_version(version: u32) -> Reply {
-    Reply::fault(
+    Reply::failure(
         ErrorKind::Uncertain,
         format!("version {version:08x} is too old: its content is no longer recorded"),
     )
--- a/crates/marker/src/core/rounds.rs
+++ b/crates/marker/src/core/rounds.rs
@@ -7,7 +7,7 @@
     REPLICATION_TIMEOUT, SLOW_BACKUP_PENALTY,
 };
 use crate::agreement::{is_majority, Agreement};
-use crate::parts::{Millis, Output};
+use crate::types::{Millis, Output};
 use granitelead_control_protocol::messages::{Epoch, MarkerStatus, Node, PeerMessage, ProposalNumber};
 use std::collections::BTreeSet;
 
@@ -174,7 +174,7 @@
             if !self.agreement.is_replicating() && now >= self.next_round_at {
                 log::info!("handing over to a marker with a disk");
                 self.next_round_at = now + SLOW_BACKUP_PENALTY;
-                out.push(Output::Send(node.ip, PeerMessage::HandOver(number)));
+                out.push(Output::SendToMarker(node.ip, PeerMessage::HandOver(number)));
                 return self.step_agreement(out, Agreement::step_down);
             }
         }
@@ -183,7 +183,7 @@
             self.next_round_at = now + SLOW_BACKUP_PENALTY;
             self.step_agreement(out, Agreement::step_down);
             for node in backups {
-                out.push(Output::Send(node.ip, PeerMessage::HandOver(number)));
+                out.push(Output::SendToMarker(node.ip, PeerMessage::HandOver(number)));
             }
             return;
         }
@@ -271,7 +271,7 @@
             return;
         }
         self.step_agreement(out, Agreement::abandon_round);
-        self.duties.lay_down();
+        self.duties.release_all();
         (self.last_outside_heartbeat, self.handover_deadline) = (0, self.now + HANDOVER_TIMEOUT);
         self.send_heartbeats(out);
         self.hand_over(out);
@@ -305,6 +305,6 @@
         let stay = self.staying_members();
         let Some(node) = backups.iter().find(|node| stay.contains(node)).copied() else { return };
         self.step_agreement(out, Agreement::step_down);
-        out.push(Output::Send(node.ip, PeerMessage::HandOver(number)));
+        out.push(Output::SendToMarker(node.ip, PeerMessage::HandOver(number)));
     }
 }
--- a/crates/marker/src/duties.rs
+++ b/crates/marker/src/duties.rs
@@ -15,7 +15,7 @@
 //! epochs decide it ([`crate::agreement`]).
 
 use crate::agreement::is_majority;
-use crate::parts::Millis;
+use crate::types::Millis;
 use granitelead_control_protocol::messages::{Duty, Node, ProposalNumber};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -71,17 +71,17 @@
     }
 
     /// The highest proposal number promised for each duty, which must be persistent.
-    pub fn ballots(&self) -> &BTreeMap<Duty, ProposalNumber> {
+    pub fn promises(&self) -> &BTreeMap<Duty, ProposalNumber> {
         &self.promised
     }
 
     /// The duties that this marker holds, with their numbers.
-    pub fn mine(&self) -> Vec<(Duty, ProposalNumber)> {
+    pub fn held_here(&self) -> Vec<(Duty, ProposalNumber)> {
         self.states.iter().filter_map(|(duty, state)| state.held.map(|number| (*duty, number))).collect()
     }
 
     /// The number under which this marker holds a duty, if it does.
-    pub fn held(&self, duty: Duty) -> Option<ProposalNumber> {
+    pub fn held_number(&self, duty: Duty) -> Option<ProposalNumber> {
         self.states.get(&duty).and_then(|state| state.held)
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// Takes in the duties that another marker names in its heartbeat.
-    pub fn on_hear(&mut self, now: Millis, from: Node, duties: &[(Duty, ProposalNumber)]) {
+    pub fn on_heartbeat(&mut self, now: Millis, from: Node, duties: &[(Duty, ProposalNumber)]) {
         for (duty, number) in duties {
             if self.allows(*duty, *number) {
                 if let Some(state) = self.states.get_mut(duty) {
@@ -136,7 +136,7 @@
 
     /// Handles a candidate's request for a vote. Returns whether to vote for it; the promise must be on disk
     /// before the vote is sent.
-    pub fn on_ballot(&mut self, now: Millis, from: Node, duty: Duty, number: ProposalNumber) -> bool {
+    pub fn on_vote_request(&mut self, now: Millis, from: Node, duty: Duty, number: ProposalNumber) -> bool {
         let other_holds = |state: &DutyState| {
             let other = state.holder.is_some_and(|(node, _, at)| node != from && now < at + HOLDER_TIMEOUT);
             other || state.held.is_some()
@@ -212,7 +212,7 @@
     }
 
     /// Gives up all duties before shutdown, so that the others need not wait for the holder timeout.
-    pub fn lay_down(&mut self) {
+    pub fn release_all(&mut self) {
         for state in self.states.values_mut() {
             (state.held, state.election) = (None, None);
         }
@@ -244,18 +244,20 @@
         expect_that!((first.round, second.round), eq((1, 1)));
         a.on_vote(1_410, core[0], DUTY, first, &core);
         b.on_vote(1_410, core[1], DUTY, second, &core);
-        expect_true!(c.on_ballot(1_410, core[0], DUTY, first) && c.on_ballot(1_411, core[1], DUTY, second));
+        expect_true!(
+            c.on_vote_request(1_410, core[0], DUTY, first) && c.on_vote_request(1_411, core[1], DUTY, second)
+        );
         a.on_vote(1_420, core[2], DUTY, first, &core);
         b.on_vote(1_420, core[2], DUTY, second, &core);
-        expect_that!((a.held(DUTY), b.held(DUTY)), eq((Some(first), Some(second))));
+        expect_that!((a.held_number(DUTY), b.held_number(DUTY)), eq((Some(first), Some(second))));
         expect_false!(c.allows(DUTY, first) || b.allows(DUTY, first));
         expect_true!(c.allows(DUTY, second));
-        a.on_hear(1_570, core[1], &b.mine());
-        expect_that!(a.held(DUTY), none());
+        a.on_heartbeat(1_570, core[1], &b.held_here());
+        expect_that!(a.held_number(DUTY), none());
         // No marker starts an election while the holder is heard, and the next number is higher.
         expect_true!(a.on_tick(2_200, true).is_empty());
         expect_false!(
-            c.on_ballot(1_600, core[0], DUTY, ProposalNumber { round: 9, proposer: 1 })
+            c.on_vote_request(1_600, core[0], DUTY, ProposalNumber { round: 9, proposer: 1 })
                 && c.holders(1_600).is_empty()
         );
         expect_that!(a.on_tick(4_000, true)[0].1, gt(second));
@@ -270,12 +272,12 @@
         a.on_vote(1_410, core[2], DUTY, first, &core);
         // Marker a freezes; meanwhile b promises the next number on disk and is then restarted.
         let second = ProposalNumber { round: 2, proposer: 3 };
-        expect_true!(b.on_ballot(9_000, core[2], DUTY, second));
-        let mut b = Duties::new(core[1], b.ballots().clone(), 5, 0);
+        expect_true!(b.on_vote_request(9_000, core[2], DUTY, second));
+        let mut b = Duties::new(core[1], b.promises().clone(), 5, 0);
         expect_false!(b.allows(DUTY, first));
         // When a resumes, it hears no other marker and releases the duty.
-        expect_that!(a.held(DUTY), some(eq(first)));
+        expect_that!(a.held_number(DUTY), some(eq(first)));
         a.on_tick(9_500, false);
-        expect_that!(a.held(DUTY), none());
+        expect_that!(a.held_number(DUTY), none());
     }
 }
--- a/crates/marker/src/lib.rs
+++ b/crates/marker/src/lib.rs
@@ -9,7 +9,6 @@
 pub mod core;
 pub mod duties;
 pub mod members;
-pub mod parts;
 pub mod pushes;
 pub mod registry;
 pub mod repair;
@@ -18,6 +17,7 @@
 pub mod state;
 pub mod store;
 pub mod tally;
+pub mod types;
 
 use std::process::ExitCode;
 
--- a/crates/marker/src/members.rs
+++ b/crates/marker/src/members.rs
@@ -10,7 +10,7 @@
 //! that has ended stays unused, and a new gatekeeper has no share of its own, but takes part in the shares
 //! of the gatekeepers that it counts with.
 
-use crate::parts::Millis;
+use crate::types::Millis;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -83,7 +83,7 @@
     /// Takes in a marker's report of all gatekeepers that are attached to it: others that were attached to
     /// it before are attached to none any more. If the marker does not count together with this one
     /// (`counts_together` is false), its gatekeepers stay missing.
-    pub fn take(&mut self, now: Millis, marker: Ipv4Addr, names: Vec<String>, counts_together: bool) {
+    pub fn on_report(&mut self, now: Millis, marker: Ipv4Addr, names: Vec<String>, counts_together: bool) {
         for (name, member) in self.members.iter_mut().filter(|(_, member)| member.attached_to == marker) {
             if !names.contains(name) {
                 member.attached_to = NOT_ATTACHED;
@@ -109,7 +109,7 @@
     /// Merges the gatekeepers that another marker misses, each with the time for which it has been missing:
     /// a marker that restarts learns of them this way. The expiry of a gatekeeper that is known already is
     /// not extended.
-    pub fn learn_missed(&mut self, now: Millis, missed: Vec<(String, Millis)>) {
+    pub fn merge_missing(&mut self, now: Millis, missed: Vec<(String, Millis)>) {
         for (name, age) in missed.into_iter().filter(|(_, age)| *age < REMOVE_AFTER) {
             if self.members.len() < MEMBERS_MAX {
                 let last_heard = signed(now) - signed(age.max(MISSING_AFTER));
@@ -121,7 +121,7 @@
     }
 
     /// Records that a gatekeeper announced its end `age` ms ago, unless it was heard since.
-    pub fn end(&mut self, now: Millis, name: &str, age: Millis) {
+    pub fn on_end(&mut self, now: Millis, name: &str, age: Millis) {
         let at = now.saturating_sub(age);
         // A marker that has not noticed the end yet may report the gatekeeper once more within that time.
         if self
@@ -142,7 +142,7 @@
     /// Advances to `now`. `all_together` says whether all markers count together, and `heard_at` when each
     /// marker that counts together with this one was last heard. Returns the quota divisor (the number of
     /// gatekeepers, at least 1) and how many of them are missing.
-    pub fn look(
+    pub fn update(
         &mut self,
         now: Millis,
         all_together: bool,
@@ -167,7 +167,7 @@
     }
 
     /// The missing gatekeepers, and for how long each has been missing, ms.
-    pub fn missed(&self, now: Millis) -> Vec<(String, Millis)> {
+    pub fn missing(&self, now: Millis) -> Vec<(String, Millis)> {
         let missed = self.counted().filter(|(_, member)| member.is_missing(now));
         missed.map(|(name, member)| (name.clone(), member.age(now))).collect()
     }
@@ -199,17 +199,17 @@
     const LATER: Millis = 1_000 + AGREEMENT_DELAY;
 
     fn together(members: &mut Members, now: Millis) -> (u32, u32) {
-        members.look(now, true, |ip| (ip == HERE).then_some(now))
+        members.update(now, true, |ip| (ip == HERE).then_some(now))
     }
 
     fn separately(members: &mut Members, now: Millis) -> (u32, u32) {
-        members.look(now, false, |ip| (ip == HERE).then_some(now))
+        members.update(now, false, |ip| (ip == HERE).then_some(now))
     }
 
     /// Three gatekeepers attached to this marker, known to all.
     fn three() -> Members {
         let mut members = Members::default();
-        members.take(1_000, HERE, names(&["a", "b", "c"]), true);
+        members.on_report(1_000, HERE, names(&["a", "b", "c"]), true);
         assert_eq!(together(&mut members, 1_000), (3, 0));
         assert_eq!(together(&mut members, LATER), (3, 0));
         members
@@ -218,12 +218,12 @@
     #[gtest]
     fn a_silent_gatekeeper_counts_for_ten_minutes_and_an_ended_one_does_not() {
         let mut members = three();
-        members.take(LATER, HERE, names(&["a", "b", "c"]), true);
-        members.take(LATER + 1_000, HERE, names(&["a"]), true);
+        members.on_report(LATER, HERE, names(&["a", "b", "c"]), true);
+        members.on_report(LATER + 1_000, HERE, names(&["a"]), true);
         expect_that!(together(&mut members, LATER + 1_000), eq((3, 2)));
-        members.end(LATER + 1_100, "b", 0);
+        members.on_end(LATER + 1_100, "b", 0);
         expect_that!(together(&mut members, LATER + 1_100), eq((2, 1)));
-        expect_that!(members.missed(LATER + 1_100), elements_are![eq(&("c".to_owned(), 1_100))]);
+        expect_that!(members.missing(LATER + 1_100), elements_are![eq(&("c".to_owned(), 1_100))]);
         expect_that!(together(&mut members, LATER + 599_900).0, eq(2));
         expect_that!(together(&mut members, LATER + 600_000).0, eq(1));
     }
@@ -232,8 +232,8 @@
     fn the_divisor_does_not_change_while_markers_count_separately() {
         let mut members = three();
         separately(&mut members, LATER);
-        members.end(LATER + 100, "a", 0);
-        members.take(LATER + 200, HERE, names(&["b", "c", "d"]), true);
+        members.on_end(LATER + 100, "a", 0);
+        members.on_report(LATER + 200, HERE, names(&["b", "c", "d"]), true);
         expect_that!(separately(&mut members, LATER + 1_000), eq((3, 1)));
         expect_that!(together(&mut members, LATER + 2_000), eq((3, 1)));
         expect_that!(together(&mut members, LATER + 2_000 + AGREEMENT_DELAY), eq((3, 0)));
@@ -243,17 +243,17 @@
     #[gtest]
     fn gatekeepers_of_a_marker_that_counts_separately_are_missing() {
         let mut members = Members::default();
-        members.take(1_000, THERE, names(&["a", "b"]), true);
-        expect_that!(members.look(1_500, true, |_| Some(1_500)), eq((2, 0)));
-        members.take(2_000, THERE, names(&["a", "b"]), false);
-        expect_that!(members.look(2_000, false, |_| None), eq((2, 2)));
+        members.on_report(1_000, THERE, names(&["a", "b"]), true);
+        expect_that!(members.update(1_500, true, |_| Some(1_500)), eq((2, 0)));
+        members.on_report(2_000, THERE, names(&["a", "b"]), false);
+        expect_that!(members.update(2_000, false, |_| None), eq((2, 2)));
     }
 
     #[gtest]
     fn stored_gatekeepers_are_missing_until_reported_and_removed_after_a_minute() {
         let mut members = Members::stored(0, names(&["a", "b"]));
         expect_that!(together(&mut members, 0), eq((2, 2)));
-        members.take(100, HERE, names(&["a"]), true);
+        members.on_report(100, HERE, names(&["a"]), true);
         expect_that!(together(&mut members, 100), eq((2, 1)));
         expect_that!(together(&mut members, 60_000), eq((1, 0)));
     }
@@ -261,10 +261,10 @@
     #[gtest]
     fn a_late_end_does_not_remove_a_gatekeeper_that_was_heard_since() {
         let mut members = three();
-        members.take(9_000, HERE, names(&["a"]), true);
-        members.end(9_000, "a", 5_000);
-        members.end(9_000, "b", 5_000);
-        members.end(9_000, "c", 5_000);
+        members.on_report(9_000, HERE, names(&["a"]), true);
+        members.on_end(9_000, "a", 5_000);
+        members.on_end(9_000, "b", 5_000);
+        members.on_end(9_000, "c", 5_000);
         together(&mut members, 9_000);
         expect_that!(members.names(), eq(&names(&["a"])));
         let b = ("b".to_owned(), 5_500);
--- a/crates/marker/src/registry.rs
+++ b/crates/marker/src/registry.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::parts::Millis;
+use crate::types::Millis;
 
 /// Heartbeats that a server may miss before it counts as gone, and the extra time on top, ms.
 const MISSED_HEARTBEATS: (u64, Millis) = (4, 2_000);
@@ -33,9 +33,9 @@
 
 /// The result of merging a report that another marker passed on.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Learnt {
+pub enum Merged {
     /// The instances that have changed here, if any.
-    News(Vec<Instance>),
+    Changed(Vec<Instance>),
     /// The instance has ended, and the sender of the report does not know that.
     Ended(Instance),
 }
@@ -53,7 +53,7 @@
 /// # Errors
 ///
 /// The kind of the error, and a text that names every invalid field by its path.
-pub fn read_beat(id: &str, body: &[u8]) -> Result<Instance, (ErrorKind, String)> {
+pub fn parse_heartbeat(id: &str, body: &[u8]) -> Result<Instance, (ErrorKind, String)> {
     let value: Value = serde_json::from_slice(body).map_err(|e| (ErrorKind::Malformed, e.to_string()))?;
     let at = Cursor::root(&value);
     let text = |at: Cursor| {
@@ -108,12 +108,12 @@
     /// Takes in a heartbeat that came to this marker. Returns the changes that the other markers have to be
     /// sent, if any: also a server whose heartbeats came to another marker before, as that one may not have
     /// reached all.
-    pub fn on_beat(&mut self, now: Millis, instance: Instance) -> Vec<Instance> {
+    pub fn on_heartbeat(&mut self, now: Millis, instance: Instance) -> Vec<Instance> {
         let id = instance.id.clone();
         self.heard_here.insert(id.clone());
         let was_remote =
             self.entries.get(&id).is_some_and(|e| !e.is_local && is_newer(&instance, &e.instance));
-        let mut changed = self.take(now, instance);
+        let mut changed = self.apply(now, instance);
         if let Some(entry) = self.entries.get_mut(&id) {
             entry.is_local = true;
             if was_remote && changed.is_empty() {
@@ -124,7 +124,7 @@
     }
 
     /// Takes in a report about an instance. Returns the changes.
-    pub fn take(&mut self, now: Millis, instance: Instance) -> Vec<Instance> {
+    pub fn apply(&mut self, now: Millis, instance: Instance) -> Vec<Instance> {
         if let Some(entry) = self.entries.get_mut(&instance.id) {
             if !is_newer(&instance, &entry.instance) {
                 return Vec::new();
@@ -161,10 +161,10 @@
     }
 
     /// Ends an instance that deregisters. Returns the changes.
-    pub fn on_leave(&mut self, now: Millis, id: &str) -> Vec<Instance> {
+    pub fn on_deregister(&mut self, now: Millis, id: &str) -> Vec<Instance> {
         let Some(entry) = self.entries.get_mut(id) else {
             // Other markers may know it: they have to receive its end before the call is acknowledged.
-            return self.take(now, Instance::ended(id));
+            return self.apply(now, Instance::ended(id));
         };
         let before = (entry.instance.state, entry.instance.sequence);
         (entry.instance.state, entry.instance.sequence, entry.last_heard) =
@@ -175,7 +175,7 @@
 
     /// Takes in instances whose heartbeats another marker received, with their sequences. Returns the
     /// changes.
-    pub fn on_alive(&mut self, now: Millis, instances: &[(String, u64)]) -> Vec<Instance> {
+    pub fn on_remote_heartbeats(&mut self, now: Millis, instances: &[(String, u64)]) -> Vec<Instance> {
         let mut changed = Vec::new();
         for (id, sequence) in instances {
             let Some(entry) = self.entries.get_mut(id) else { continue };
@@ -193,14 +193,14 @@
     }
 
     /// Takes the instances whose heartbeats came here since the last call, with their sequences.
-    pub fn beaten(&mut self) -> Vec<(String, u64)> {
+    pub fn take_local_heartbeats(&mut self) -> Vec<(String, u64)> {
         let heard = std::mem::take(&mut self.heard_here);
         let sequence = |id: String| self.entries.get(&id).map(|e| (id, e.instance.sequence));
         heard.into_iter().filter_map(sequence).filter(|(_, n)| *n != u64::MAX).collect()
     }
 
     /// All instances that are not gone, as other markers and gatekeepers are to know them.
-    pub fn all(&self) -> Vec<Instance> {
+    pub fn live(&self) -> Vec<Instance> {
         self.entries
             .values()
             .map(|e| &e.instance)
@@ -210,7 +210,7 @@
     }
 
     /// Merges a report passed on by a marker that may have been disconnected for long.
-    pub fn learn(&mut self, now: Millis, report: Instance) -> Learnt {
+    pub fn merge(&mut self, now: Millis, report: Instance) -> Merged {
         let known = self.entries.get(&report.id).map(|e| &e.instance);
         let ended = known.is_some_and(|k| k.state == InstanceState::Gone && !is_newer(&report, k));
         // An instance that is known only from before this start was not heard.
@@ -226,9 +226,9 @@
             && (ended || known.is_none() && self.entries.values().any(has_address))
         {
             let end = known.filter(|_| ended).cloned();
-            return Learnt::Ended(end.unwrap_or(Instance { state: InstanceState::Gone, ..report }));
+            return Merged::Ended(end.unwrap_or(Instance { state: InstanceState::Gone, ..report }));
         }
-        Learnt::News(self.take(now, report))
+        Merged::Changed(self.apply(now, report))
     }
 
     /// Advances to `now` and drops instances that have been gone for long. `may_miss_reports` says that
@@ -249,7 +249,7 @@
     }
 
     /// The servers whose heartbeats have timed out, already marked as gone.
-    pub fn silent(&self, now: Millis) -> Vec<Instance> {
+    pub fn timed_out(&self, now: Millis) -> Vec<Instance> {
         let timeout = self.timeout();
         let silent = |e: &&Entry| e.instance.state != InstanceState::Gone && now > e.last_heard + timeout;
         let ends = self.entries.values().filter(silent);
@@ -258,7 +258,7 @@
 
     /// Of servers that timed out at another marker those that have not timed out here, with their newest
     /// sequence.
-    pub fn heard_of(&self, now: Millis, servers: &[Instance]) -> Vec<(String, u64)> {
+    pub fn not_timed_out(&self, now: Millis, servers: &[Instance]) -> Vec<(String, u64)> {
         let timeout = self.timeout();
         let heard = |e: &&Entry| e.instance.state != InstanceState::Gone && now <= e.last_heard + timeout;
         let here = servers.iter().filter_map(|s| self.entries.get(&s.id)).filter(heard);
@@ -266,13 +266,13 @@
     }
 
     /// Ends servers that had timed out, unless a heartbeat has come since. Returns those that it ends.
-    pub fn end(&mut self, now: Millis, silent: Vec<Instance>) -> Vec<Instance> {
-        silent.into_iter().flat_map(|end| self.take(now, end)).collect()
+    pub fn end_timed_out(&mut self, now: Millis, silent: Vec<Instance>) -> Vec<Instance> {
+        silent.into_iter().flat_map(|end| self.apply(now, end)).collect()
     }
 
     /// All known instances, including those that are gone and still remembered: what a marker that was
     /// disconnected may have missed.
-    pub fn whole(&self) -> Vec<Instance> {
+    pub fn snapshot(&self) -> Vec<Instance> {
         self.entries.values().map(|e| e.instance.clone()).collect()
     }
 }
@@ -299,42 +299,45 @@
     #[gtest]
     fn late_reports_do_not_change_a_server_that_drains_or_has_ended() {
         let mut registry = Registry::new(1_500);
-        expect_that!(registry.on_beat(0, server("x", 1, InstanceState::Ready)).len(), eq(1));
-        expect_that!(registry.on_beat(1_500, server("x", 2, InstanceState::Ready)).len(), eq(0));
-        expect_that!(registry.on_beat(2_000, server("x", 4, InstanceState::Draining)).len(), eq(1));
-        expect_that!(registry.on_beat(2_100, server("x", 3, InstanceState::Ready)).len(), eq(0));
-        expect_that!(registry.all()[0].state, eq(InstanceState::Draining));
-        expect_that!(registry.on_leave(3_000, "x").len(), eq(1));
-        expect_that!(registry.on_leave(3_000, "x").len(), eq(0));
-        expect_that!(registry.on_beat(3_100, server("x", 5, InstanceState::Ready)).len(), eq(0));
-        expect_true!(registry.all().is_empty());
+        expect_that!(registry.on_heartbeat(0, server("x", 1, InstanceState::Ready)).len(), eq(1));
+        expect_that!(registry.on_heartbeat(1_500, server("x", 2, InstanceState::Ready)).len(), eq(0));
+        expect_that!(registry.on_heartbeat(2_000, server("x", 4, InstanceState::Draining)).len(), eq(1));
+        expect_that!(registry.on_heartbeat(2_100, server("x", 3, InstanceState::Ready)).len(), eq(0));
+        expect_that!(registry.live()[0].state, eq(InstanceState::Draining));
+        expect_that!(registry.on_deregister(3_000, "x").len(), eq(1));
+        expect_that!(registry.on_deregister(3_000, "x").len(), eq(0));
+        expect_that!(registry.on_heartbeat(3_100, server("x", 5, InstanceState::Ready)).len(), eq(0));
+        expect_true!(registry.live().is_empty());
     }
 
     #[gtest]
     fn missing_heartbeats_end_a_server_unless_reports_are_missing_and_a_heartbeat_restores_it() {
         let mut registry = Registry::new(1_500);
-        registry.on_beat(0, server("x", 1, InstanceState::Ready));
-        registry.on_beat(0, server("xx", 1, InstanceState::Ready));
-        expect_that!(registry.on_alive(7_000, &[("xx".into(), 5)]).len(), eq(0));
+        registry.on_heartbeat(0, server("x", 1, InstanceState::Ready));
+        registry.on_heartbeat(0, server("xx", 1, InstanceState::Ready));
+        expect_that!(registry.on_remote_heartbeats(7_000, &[("xx".into(), 5)]).len(), eq(0));
         registry.on_tick(8_001, true);
-        expect_that!(registry.silent(8_001).len(), eq(0));
-        let silent = registry.silent(12_002);
+        expect_that!(registry.timed_out(8_001).len(), eq(0));
+        let silent = registry.timed_out(12_002);
         expect_that!(silent[0].id, eq("x"));
         // A server with a heartbeat since is not ended.
         let outdated = Instance { sequence: 0, ..silent[0].clone() };
-        expect_that!(registry.end(12_002, vec![outdated]).len(), eq(0));
-        expect_that!(registry.all().len(), eq(2));
-        expect_that!(registry.end(12_002, silent)[0].id, eq("x"));
-        expect_that!(registry.all().len(), eq(1));
-        expect_that!(registry.on_alive(13_000, &[("x".into(), 9)])[0].state, eq(InstanceState::Ready));
-        expect_that!(registry.all().len(), eq(2));
+        expect_that!(registry.end_timed_out(12_002, vec![outdated]).len(), eq(0));
+        expect_that!(registry.live().len(), eq(2));
+        expect_that!(registry.end_timed_out(12_002, silent)[0].id, eq("x"));
+        expect_that!(registry.live().len(), eq(1));
+        expect_that!(
+            registry.on_remote_heartbeats(13_000, &[("x".into(), 9)])[0].state,
+            eq(InstanceState::Ready)
+        );
+        expect_that!(registry.live().len(), eq(2));
     }
 
     #[gtest]
     fn an_address_belongs_to_the_newest_instance() {
         let mut registry = Registry::new(1_500);
-        registry.on_beat(0, server("x", 7, InstanceState::Ready));
-        let changed = registry.on_beat(10, server("y", 1, InstanceState::Ready));
+        registry.on_heartbeat(0, server("x", 7, InstanceState::Ready));
+        let changed = registry.on_heartbeat(10, server("y", 1, InstanceState::Ready));
         let changes: Vec<(&str, InstanceState)> = changed.iter().map(|i| (i.id.as_str(), i.state)).collect();
         expect_that!(changes, eq(&vec![("x", InstanceState::Gone), ("y", InstanceState::Ready)]));
     }
@@ -343,12 +346,12 @@
     fn a_heartbeat_is_parsed_or_rejected_with_the_paths_of_its_errors() {
         let good = r#"{"address":"10.128.0.9:8080","information":{"service-name":"h","version":"v1","zone":"z",
             "capacity-slots":2},"status":{"state":"ready","call-sequence":4,"cold-remaining-ms":0}}"#;
-        let read = read_beat("i", good.as_bytes()).unwrap();
+        let read = parse_heartbeat("i", good.as_bytes()).unwrap();
         expect_that!((read.slots, read.sequence, read.state), eq((2, 4, InstanceState::Ready)));
         let bad = good.replace("10.128.0.9:8080", "nowhere").replace("\"ready\"", "\"fine\"");
-        let (kind, text) = read_beat("i", bad.as_bytes()).unwrap_err();
+        let (kind, text) = parse_heartbeat("i", bad.as_bytes()).unwrap_err();
         expect_that!(kind, eq(ErrorKind::Malformed));
         expect_that!(text, all!(contains_substring("address:"), contains_substring("status.state:")));
-        expect_true!(read_beat("i", b"{").is_err());
+        expect_true!(parse_heartbeat("i", b"{").is_err());
     }
 }
--- a/crates/marker/src/repair.rs
+++ b/crates/marker/src/repair.rs
@@ -5,7 +5,7 @@
 //! have ended. Each end is therefore kept until the other marker acknowledges it. Usage reports are not
 //! kept: they would count at the time of delivery, long after the requests that they stand for.
 
-use crate::parts::Millis;
+use crate::types::Millis;
 use granitelead_control_protocol::messages::Instance;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -38,7 +38,7 @@
 
 impl Repair {
     /// Records ends of servers that a marker is sent under a ticket, until it acknowledges them.
-    pub fn owe(&mut self, now: Millis, to: Ipv4Addr, ended: &[Instance], ticket: u64) {
+    pub fn record_ends(&mut self, now: Millis, to: Ipv4Addr, ended: &[Instance], ticket: u64) {
         let ends = self.unacknowledged.entry(to).or_default();
         for instance in ended {
             ends.insert(
@@ -54,7 +54,7 @@
     }
 
     /// A marker acknowledges what it was sent under a ticket. Returns whether to send the next batch.
-    pub fn told(&mut self, from: Ipv4Addr, ticket: u64) -> bool {
+    pub fn on_acknowledged(&mut self, from: Ipv4Addr, ticket: u64) -> bool {
         if let Some(ends) = self.unacknowledged.get_mut(&from) {
             ends.retain(|_, end| end.ticket != ticket);
         }
@@ -62,7 +62,7 @@
     }
 
     /// The connection to a marker has come up: unacknowledged messages are considered lost.
-    pub fn back(&mut self, ip: Ipv4Addr) {
+    pub fn on_connected(&mut self, ip: Ipv4Addr) {
         self.in_progress.remove(&ip);
         for ends in self.unacknowledged.get_mut(&ip).into_iter().flat_map(BTreeMap::values_mut) {
             ends.ticket = 0;
@@ -70,7 +70,7 @@
     }
 
     /// The next batch for a marker, to be sent under this ticket; empty once nothing is left.
-    pub fn part(&mut self, ip: Ipv4Addr, ticket: u64) -> Vec<Instance> {
+    pub fn next_batch(&mut self, ip: Ipv4Addr, ticket: u64) -> Vec<Instance> {
         let ends = self.unacknowledged.get_mut(&ip).into_iter().flat_map(BTreeMap::values_mut);
         let batch: Vec<Instance> = ends
             .filter(|end| end.ticket == 0)
@@ -90,7 +90,7 @@
     }
 
     /// Drops expired ends, and all ends for markers that are no longer known.
-    pub fn sweep(&mut self, now: Millis, known: impl Fn(&Ipv4Addr) -> bool) {
+    pub fn expire(&mut self, now: Millis, known: impl Fn(&Ipv4Addr) -> bool) {
         self.unacknowledged.retain(|ip, ends| {
             ends.retain(|_, end| now < end.since + EXPIRE_AFTER);
             known(ip) && !ends.is_empty()
@@ -100,7 +100,7 @@
 
     /// The number of ends that are kept, that were sent again after a disconnection, and that were dropped
     /// at the limit.
-    pub fn figures(&self) -> (usize, u64, u64) {
+    pub fn counters(&self) -> (usize, u64, u64) {
         (self.unacknowledged.values().map(BTreeMap::len).sum(), self.resent_count, self.dropped_count)
     }
 }
@@ -129,34 +129,34 @@
     fn missed_ends_are_sent_in_batches_until_acknowledged() {
         let (mut repair, ip) = (Repair::default(), [10, 0, 0, 2].into());
         let all: Vec<Instance> = (0..100).map(ended).collect();
-        repair.owe(0, ip, &all[..99], 7);
-        repair.owe(0, ip, &all[99..], 8);
-        expect_false!(repair.told(ip, 8));
-        repair.back(ip);
-        let first = repair.part(ip, 9);
+        repair.record_ends(0, ip, &all[..99], 7);
+        repair.record_ends(0, ip, &all[99..], 8);
+        expect_false!(repair.on_acknowledged(ip, 8));
+        repair.on_connected(ip);
+        let first = repair.next_batch(ip, 9);
         expect_that!(first.len(), eq(BATCH_MAX));
         // The connection breaks again before the batch is acknowledged.
-        repair.back(ip);
-        expect_that!(repair.part(ip, 10), eq(&first));
-        expect_true!(repair.told(ip, 10));
-        let second = repair.part(ip, 11);
+        repair.on_connected(ip);
+        expect_that!(repair.next_batch(ip, 10), eq(&first));
+        expect_true!(repair.on_acknowledged(ip, 10));
+        let second = repair.next_batch(ip, 11);
         expect_that!(second.len(), eq(99 - BATCH_MAX));
-        expect_true!(repair.told(ip, 11));
-        expect_true!(repair.part(ip, 12).is_empty());
-        repair.back(ip);
-        expect_true!(repair.part(ip, 13).is_empty());
+        expect_true!(repair.on_acknowledged(ip, 11));
+        expect_true!(repair.next_batch(ip, 12).is_empty());
+        repair.on_connected(ip);
+        expect_true!(repair.next_batch(ip, 13).is_empty());
     }
 
     #[gtest]
     fn kept_ends_are_limited_in_number_and_age() {
         let (mut repair, ip) = (Repair::default(), [10, 0, 0, 2].into());
         for n in 0..ENDS_PER_MARKER_MAX + 5 {
-            repair.owe(n as Millis, ip, &[ended(n)], 0);
+            repair.record_ends(n as Millis, ip, &[ended(n)], 0);
         }
-        expect_that!(repair.figures(), eq((ENDS_PER_MARKER_MAX, 0, 5)));
-        repair.sweep(EXPIRE_AFTER + 10, |_| true);
-        expect_that!(repair.figures().0, eq(ENDS_PER_MARKER_MAX - 6));
-        repair.sweep(EXPIRE_AFTER + 10, |_| false);
-        expect_that!(repair.figures().0, eq(0));
+        expect_that!(repair.counters(), eq((ENDS_PER_MARKER_MAX, 0, 5)));
+        repair.expire(EXPIRE_AFTER + 10, |_| true);
+        expect_that!(repair.counters().0, eq(ENDS_PER_MARKER_MAX - 6));
+        repair.expire(EXPIRE_AFTER + 10, |_| false);
+        expect_that!(repair.counters().0, eq(0));
     }
 }
--- a/crates/marker/src/run.rs
+++ b/crates/marker/src/run.rs
@@ -2,9 +2,9 @@
 
 use crate::calls;
 use crate::core::{self, Core};
-use crate::parts::{Millis, Output, Reply, SessionId};
 use crate::state::{Call, Marker};
 use crate::store::{self, Found, Job, Store};
+use crate::types::{Millis, Output, Reply, SessionId};
 use granitelead_base::Backoff;
 use granitelead_common::settings::{self, Settings};
 use granitelead_control_protocol::connection::{self, Sender};
@@ -140,30 +140,30 @@
         take(&mut self.marker.borrow_mut(), self.now(), &mut out);
         for output in out {
             match output {
-                Output::Send(ip, word) => {
+                Output::SendToMarker(ip, word) => {
                     let me = self.marker.borrow().me();
                     if let Some(line) = self.lines.borrow().get(&ip) {
                         say(line, &Message::Peer(me, word), &self.said.markers);
                     }
                 }
-                Output::Tell(id, word) => {
+                Output::SendToGatekeeper(id, word) => {
                     if let Some(session) = self.sessions.borrow().get(&id) {
                         say(session, &Message::ToGatekeeper(word), &self.said.gatekeepers);
                     }
                 }
-                Output::Write(ticket, keeping) => {
+                Output::Persist(ticket, keeping) => {
                     // The writer ends with the process only.
                     let _ = self.writes.send(Job::Keep(ticket, keeping));
                 }
-                Output::End(id) => {
+                Output::CloseSession(id) => {
                     if let Some(session) = self.sessions.borrow().get(&id) {
                         session.close();
                     }
                 }
-                Output::Servers(servers) => {
+                Output::StoreServers(servers) => {
                     let _ = self.writes.send(Job::Servers(servers));
                 }
-                Output::Gatekeepers(names) => {
+                Output::StoreGatekeepers(names) => {
                     let _ = self.writes.send(Job::Gatekeepers(names));
                 }
                 Output::Answer(id, reply) => {
@@ -172,7 +172,7 @@
                         let _ = call.send(reply);
                     }
                 }
-                Output::Sure(_) => {}
+                Output::Committed(_) => {}
             }
         }
         let known = self.marker.borrow().known();
@@ -240,7 +240,7 @@
     request: Request<Incoming>,
 ) -> Result<hyper::Response<http_body_util::Full<bytes::Bytes>>, Infallible> {
     let path = request.uri().path().to_owned();
-    let reply = match calls::read(request).await {
+    let reply = match calls::parse_request(request).await {
         Err(reply) => reply,
         Ok(call) => {
             let asks = call == Call::Status;
@@ -250,7 +250,7 @@
             exchange.step(|marker, now, out| marker.on_call(now, id, call, out));
             let reply = answer.await;
             let reply = reply.unwrap_or_else(|_| {
-                Reply::fault(granitelead_common::error_kinds::ErrorKind::Internal, "no answer")
+                Reply::failure(granitelead_common::error_kinds::ErrorKind::Internal, "no answer")
             });
             if asks {
                 with_counts(reply, &exchange.said)
@@ -259,7 +259,7 @@
             }
         }
     };
-    Ok(calls::write(reply, &path, exchange.control, exchange.leaving.get()))
+    Ok(calls::encode_reply(reply, &path, exchange.control, exchange.leaving.get()))
 }
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, Failure> {
--- a/crates/marker/src/sessions.rs
+++ b/crates/marker/src/sessions.rs
@@ -1,8 +1,8 @@
 //! Sessions of gatekeepers: the configuration and acknowledgement state of each, and the calls that wait
 //! until all gatekeepers have acknowledged a change.
 
-use crate::parts::{Millis, Output, SessionId};
 use crate::pushes::Pushes;
+use crate::types::{Millis, Output, SessionId};
 use granitelead_control_protocol::messages::{Document, Instance, Revision, ToGatekeeper, Update};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -107,7 +107,7 @@
             log::error!("session limit of {SESSIONS_MAX} reached: closing the session of gatekeeper {name}");
             // Left open, the connection would look like a session to the gatekeeper, which would receive
             // nothing over it.
-            return out.push(Output::End(id));
+            return out.push(Output::CloseSession(id));
         }
         let session = Session {
             incarnation,
@@ -127,9 +127,9 @@
             self.pushes.set_newest(document);
             self.push(id, out);
         }
-        self.tell(id, Update::Servers(servers), out);
-        self.tell(id, Update::Markers(markers), out);
-        self.tell(id, Update::Synchronized(zone.to_owned()), out);
+        self.send(id, Update::Servers(servers), out);
+        self.send(id, Update::Markers(markers), out);
+        self.send(id, Update::Synchronized(zone.to_owned()), out);
     }
 
     /// Removes a session; nothing waits for it any more.
@@ -141,7 +141,7 @@
     }
 
     /// The incarnation of a session's gatekeeper.
-    pub fn life(&self, id: SessionId) -> Option<u64> {
+    pub fn incarnation(&self, id: SessionId) -> Option<u64> {
         self.sessions.get(&id).map(|s| s.incarnation)
     }
 
@@ -166,13 +166,13 @@
 
     /// The number of sessions whose gatekeeper has this configuration or a newer one in force, and the
     /// number of all sessions.
-    pub fn have(&self, version: u32) -> (usize, usize) {
+    pub fn count_in_force(&self, version: u32) -> (usize, usize) {
         (self.sessions.values().filter(|s| !s.is_behind(version)).count(), self.sessions.len())
     }
 
     /// Distributes a committed configuration: gatekeepers attached to this marker get it at once, the others
     /// after a delay if they still lack it.
-    pub fn configure(&mut self, now: Millis, document: &Arc<Document>, out: &mut Vec<Output>) {
+    pub fn on_committed(&mut self, now: Millis, document: &Arc<Document>, out: &mut Vec<Output>) {
         self.pushes.set_newest(document);
         let mut at_once = Vec::new();
         for (id, session) in &mut self.sessions {
@@ -218,30 +218,30 @@
 
     /// Sends a gatekeeper a message that carries a configuration, and records which one.
     fn send_configuration(&mut self, id: SessionId, newest: Revision, news: Update, out: &mut Vec<Output>) {
-        self.tell(id, news, out);
+        self.send(id, news, out);
         if let Some(session) = self.sessions.get_mut(&id) {
             (session.last_configuration, session.carrier_number) = (Some(newest), session.last_sent);
         }
     }
 
     /// Sends a gatekeeper a numbered message.
-    pub fn tell(&mut self, id: SessionId, news: Update, out: &mut Vec<Output>) {
+    pub fn send(&mut self, id: SessionId, news: Update, out: &mut Vec<Output>) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.last_sent += 1;
-            out.push(Output::Tell(id, ToGatekeeper::Update(session.last_sent, news)));
+            out.push(Output::SendToGatekeeper(id, ToGatekeeper::Update(session.last_sent, news)));
         }
     }
 
     /// Sends all gatekeepers a message.
-    pub fn tell_all(&mut self, news: &Update, out: &mut Vec<Output>) {
+    pub fn send_all(&mut self, news: &Update, out: &mut Vec<Output>) {
         let ids: Vec<SessionId> = self.sessions.keys().copied().collect();
         for id in ids {
-            self.tell(id, news.clone(), out);
+            self.send(id, news.clone(), out);
         }
     }
 
     /// A gatekeeper acknowledges all messages up to this number.
-    pub fn on_got(&mut self, id: SessionId, number: u64, out: &mut Vec<Output>) {
+    pub fn on_acknowledged(&mut self, id: SessionId, number: u64, out: &mut Vec<Output>) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.last_acknowledged = session.last_acknowledged.max(number.min(session.last_sent));
             let acknowledged = session.last_acknowledged;
@@ -258,7 +258,7 @@
     }
 
     /// A gatekeeper reports the configuration that it has in force.
-    pub fn on_has(&mut self, id: SessionId, has: Revision) {
+    pub fn on_in_force(&mut self, id: SessionId, has: Revision) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         session.in_force = session.in_force.max(Some(has));
         let newest = self.pushes.revision();
@@ -269,7 +269,7 @@
 
     /// A gatekeeper can't apply a difference, as it has another configuration in force: it is sent the whole
     /// newest one.
-    pub fn on_lacks(&mut self, id: SessionId, has: Option<Revision>, out: &mut Vec<Output>) {
+    pub fn on_difference_failed(&mut self, id: SessionId, has: Option<Revision>, out: &mut Vec<Output>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         (session.in_force, session.last_configuration, session.due_at) = (has, None, None);
         let newest = self.pushes.revision().filter(|newest| session.is_behind(newest.version));
@@ -279,7 +279,7 @@
     }
 
     /// Records whether a gatekeeper is attached to this marker.
-    pub fn on_home(&mut self, id: SessionId, is_attached: bool) {
+    pub fn on_attached(&mut self, id: SessionId, is_attached: bool) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.is_attached = is_attached;
         }
@@ -288,8 +288,8 @@
     /// Starts a wait until all gatekeepers with sessions here have acknowledged what was sent to them so
     /// far, and these markers have confirmed the same for theirs. Returns the ticket for those
     /// confirmations.
-    pub fn wait(&mut self, now: Millis, waiter: Waiter, markers: &[Ipv4Addr]) -> u64 {
-        let ticket = self.ticket();
+    pub fn start_wait(&mut self, now: Millis, waiter: Waiter, markers: &[Ipv4Addr]) -> u64 {
+        let ticket = self.next_ticket();
         let behind = self.sessions.iter().filter(|(_, s)| s.last_acknowledged < s.last_sent);
         let sessions = behind.map(|(id, s)| (*id, s.last_sent)).collect();
         let markers = markers.iter().copied().collect();
@@ -302,13 +302,13 @@
     }
 
     /// A new ticket under which another marker can confirm something that no call waits for.
-    pub fn ticket(&mut self) -> u64 {
+    pub fn next_ticket(&mut self) -> u64 {
         self.last_ticket += 1;
         self.last_ticket
     }
 
     /// Another marker confirms that all its gatekeepers know what was sent to it under this ticket.
-    pub fn on_told(&mut self, from: Ipv4Addr, ticket: u64) {
+    pub fn on_confirmed(&mut self, from: Ipv4Addr, ticket: u64) {
         for wait in self.waits.iter_mut().filter(|wait| wait.ticket == ticket) {
             wait.markers.remove(&from);
             wait.confirmed.insert(from);
@@ -317,7 +317,7 @@
 
     /// Removes the waits that are over, because all have confirmed or because the time is up. Returns each
     /// waiter with the markers that have confirmed.
-    pub fn known(&mut self, now: Millis) -> Vec<(Waiter, BTreeSet<Ipv4Addr>)> {
+    pub fn finished_waits(&mut self, now: Millis) -> Vec<(Waiter, BTreeSet<Ipv4Addr>)> {
         let mut finished = Vec::new();
         self.waits.retain_mut(|wait| {
             let is_over = (wait.sessions.is_empty() && wait.markers.is_empty()) || now >= wait.deadline;
--- a/crates/marker/src/state.rs
+++ b/crates/marker/src/state.rs
@@ -2,11 +2,11 @@
 
 use crate::core::{Core, CoreStatus};
 use crate::members::Members;
-use crate::parts::{Millis, Output, Reply, SessionId};
-use crate::registry::{self, Learnt, Registry};
+use crate::registry::{self, Merged, Registry};
 use crate::repair::Repair;
 use crate::sessions::{Sessions, Waiter};
 use crate::tally::Tally;
+use crate::types::{Millis, Output, Reply, SessionId};
 use granitelead_common::configuration;
 use granitelead_common::error_kinds::ErrorKind;
 use granitelead_control_protocol::messages::{
@@ -124,7 +124,7 @@
     pub fn new(mut core: Core, zone: String, beat: Millis, servers: Vec<Instance>) -> Marker {
         let mut registry = Registry::new(beat);
         for server in servers {
-            registry.take(0, server);
+            registry.apply(0, server);
         }
         let (ticket, asked, begun) = (core.draw_nonce(), core.draw_nonce(), core.now());
         Marker {
@@ -164,7 +164,7 @@
         self.knows_members = !gatekeepers.is_empty();
         self.stored_members.clone_from(&gatekeepers);
         self.members = Members::stored(self.begun, gatekeepers);
-        self.told_members = self.members.look(self.begun, false, |_| None);
+        self.told_members = self.members.update(self.begun, false, |_| None);
         self.tally = Tally::new(window, self.begun);
         self
     }
@@ -192,25 +192,28 @@
     /// A call comes; it is answered under its number.
     pub fn on_call(&mut self, now: Millis, id: u64, call: Call, out: &mut Vec<Output>) {
         match call {
-            Call::Beat { id: life, body } => match registry::read_beat(&life, &body) {
-                Err((kind, text)) => out.push(Output::Answer(id, Reply::Fault(kind, text))),
+            Call::Beat { id: life, body } => match registry::parse_heartbeat(&life, &body) {
+                Err((kind, text)) => out.push(Output::Answer(id, Reply::Failure(kind, text))),
                 Ok(instance) => {
                     let leaves = instance.state != InstanceState::Ready;
                     // Beats stay in the server's zone where a marker is there.
-                    let reply = self.marker_of(&instance.zone).map_or(Reply::done(), Reply::Beats);
-                    let changed = self.registry.on_beat(now, instance);
+                    let reply = self.marker_of(&instance.zone).map_or(Reply::done(), Reply::Heartbeat);
+                    let changed = self.registry.on_heartbeat(now, instance);
                     let leaves = self.registry.get(&life).filter(|_| leaves).cloned();
                     self.spread(now, id, leaves, changed, reply, out);
                 }
             },
             Call::Leave { id: life } => {
-                let changed = self.registry.on_leave(now, &life);
+                let changed = self.registry.on_deregister(now, &life);
                 let leaves = self.registry.get(&life).cloned();
                 self.spread(now, id, leaves, changed, Reply::done(), out);
             }
             Call::Replace { body } => match configuration::parse(&body) {
                 Err(faults) => {
-                    out.push(Output::Answer(id, Reply::Fault(ErrorKind::Configuration, faults.to_string())));
+                    out.push(Output::Answer(
+                        id,
+                        Reply::Failure(ErrorKind::Configuration, faults.to_string()),
+                    ));
                 }
                 Ok(read) => {
                     let document = Document { version: read.version, bytes: body };
@@ -239,11 +242,14 @@
             self.tell_servers(changed.clone(), out);
         }
         let ticket = if !self.contact {
-            out.push(Output::Answer(id, Reply::fault(ErrorKind::Uncertain, "this marker is out of contact")));
+            out.push(Output::Answer(
+                id,
+                Reply::failure(ErrorKind::Uncertain, "this marker is out of contact"),
+            ));
             0
         } else if leaves.is_some() {
             let live = self.core.live_markers();
-            self.sessions.wait(now, Waiter::Call(id), &live)
+            self.sessions.start_wait(now, Waiter::Call(id), &live)
         } else {
             out.push(Output::Answer(id, reply));
             0
@@ -269,19 +275,19 @@
         }
         let ended: Vec<Instance> =
             changed.iter().filter(|i| i.state == InstanceState::Gone).cloned().collect();
-        let ticket = if ticket == 0 && !ended.is_empty() { self.sessions.ticket() } else { ticket };
+        let ticket = if ticket == 0 && !ended.is_empty() { self.sessions.next_ticket() } else { ticket };
         for ip in self.core.known_markers().into_iter().filter(|ip| Some(*ip) != except) {
-            self.repair.owe(now, ip, &ended, ticket);
-            out.push(Output::Send(ip, PeerMessage::Servers(ticket, changed.clone())));
+            self.repair.record_ends(now, ip, &ended, ticket);
+            out.push(Output::SendToMarker(ip, PeerMessage::Servers(ticket, changed.clone())));
         }
     }
 
     /// Hands over to a marker the next part of what it missed.
     fn hand_over(&mut self, ip: Ipv4Addr, out: &mut Vec<Output>) {
-        let ticket = self.sessions.ticket();
-        let part = self.repair.part(ip, ticket);
+        let ticket = self.sessions.next_ticket();
+        let part = self.repair.next_batch(ip, ticket);
         if !part.is_empty() {
-            out.push(Output::Send(ip, PeerMessage::Servers(ticket, part)));
+            out.push(Output::SendToMarker(ip, PeerMessage::Servers(ticket, part)));
         }
     }
 
@@ -294,9 +300,9 @@
     ) -> (Vec<Instance>, Vec<Instance>) {
         let (mut changed, mut ended) = (Vec::new(), Vec::new());
         for server in servers {
-            match self.registry.learn(now, server) {
-                Learnt::News(news) => changed.extend(news),
-                Learnt::Ended(end) => ended.push(end),
+            match self.registry.merge(now, server) {
+                Merged::Changed(news) => changed.extend(news),
+                Merged::Ended(end) => ended.push(end),
             }
         }
         if !changed.is_empty() {
@@ -319,18 +325,18 @@
         changed.retain(|server| server.state != InstanceState::Ready);
         self.pass_on(now, changed, 0, Some(from), out);
         if !ended.is_empty() {
-            let ticket = self.sessions.ticket();
-            self.repair.owe(now, from, &ended, ticket);
-            out.push(Output::Send(from, PeerMessage::Servers(ticket, ended)));
+            let ticket = self.sessions.next_ticket();
+            self.repair.record_ends(now, from, &ended, ticket);
+            out.push(Output::SendToMarker(from, PeerMessage::Servers(ticket, ended)));
         }
         if ticket > 0 {
-            self.sessions.wait(now, Waiter::Marker(from, ticket), &[]);
+            self.sessions.start_wait(now, Waiter::Marker(from, ticket), &[]);
         }
     }
 
     fn tell_servers(&mut self, changed: Vec<Instance>, out: &mut Vec<Output>) {
         self.servers_changed = true;
-        self.sessions.tell_all(&Update::Servers(changed), out);
+        self.sessions.send_all(&Update::Servers(changed), out);
     }
 
     /// Another marker says something.
@@ -340,26 +346,26 @@
             PeerMessage::Servers(ticket, servers) => self.take_servers(now, from.ip, ticket, servers, out),
             PeerMessage::ConfirmExpired(number, ticket, servers) => {
                 if self.core.allows(Duty::Reaper, number) {
-                    let heard = self.registry.heard_of(now, &servers);
+                    let heard = self.registry.not_timed_out(now, &servers);
                     let word = if heard.is_empty() {
                         PeerMessage::Delivered(ticket)
                     } else {
                         PeerMessage::Alive(heard)
                     };
-                    out.push(Output::Send(from.ip, word));
+                    out.push(Output::SendToMarker(from.ip, word));
                 } else {
                     log::info!("{} reaps under number {}, which is over", from.ip, number.round);
                 }
             }
             PeerMessage::Delivered(ticket) => {
-                self.sessions.on_told(from.ip, ticket);
+                self.sessions.on_confirmed(from.ip, ticket);
                 self.on_reaped(now, from.ip, ticket, out);
-                if self.repair.told(from.ip, ticket) {
+                if self.repair.on_acknowledged(from.ip, ticket) {
                     self.hand_over(from.ip, out);
                 }
             }
             PeerMessage::Alive(lives) => {
-                let changed = self.registry.on_alive(now, &lives);
+                let changed = self.registry.on_remote_heartbeats(now, &lives);
                 if !changed.is_empty() {
                     self.tell_servers(changed, out);
                 }
@@ -367,18 +373,20 @@
             PeerMessage::Sessions { zone, names, missed, ended } => {
                 self.peers.entry(from.ip).or_default().zone = zone;
                 let is_counted = self.counts_with.contains(&from.ip);
-                self.members.take(now, from.ip, names, is_counted);
-                self.members.learn_missed(now, missed);
-                ended.into_iter().for_each(|(name, age)| self.members.end(now, &name, age));
+                self.members.on_report(now, from.ip, names, is_counted);
+                self.members.merge_missing(now, missed);
+                ended.into_iter().for_each(|(name, age)| self.members.on_end(now, &name, age));
             }
-            PeerMessage::GatekeeperLeft(name) => self.members.end(now, &name, 0),
+            PeerMessage::GatekeeperLeft(name) => self.members.on_end(now, &name, 0),
             // Others count without what is let in here: each leaves the other its part.
-            PeerMessage::Usage(adds) if self.counts_with.contains(&from.ip) => self.tally.count(now, &adds),
+            PeerMessage::Usage(adds) if self.counts_with.contains(&from.ip) => {
+                self.tally.add_usage(now, &adds)
+            }
             PeerMessage::Usage(_) => {}
             PeerMessage::CatchUp(number) => {
-                out.push(Output::Send(from.ip, PeerMessage::Servers(0, self.registry.whole())));
+                out.push(Output::SendToMarker(from.ip, PeerMessage::Servers(0, self.registry.snapshot())));
                 let sure = self.core.committed().map(|d| d.version);
-                out.push(Output::Send(from.ip, PeerMessage::CaughtUp(number, sure)));
+                out.push(Output::SendToMarker(from.ip, PeerMessage::CaughtUp(number, sure)));
             }
             PeerMessage::CaughtUp(number, sure) => {
                 if let Some(asking) = self.asking.as_mut().filter(|asking| asking.number == number) {
@@ -406,11 +414,11 @@
         peer.greeted = up;
         if greets {
             // Who is no more comes first: its address may be another's by now.
-            self.repair.back(ip);
+            self.repair.on_connected(ip);
             self.hand_over(ip, out);
-            let all = self.registry.all();
+            let all = self.registry.live();
             if !all.is_empty() {
-                out.push(Output::Send(ip, PeerMessage::Servers(0, all)));
+                out.push(Output::SendToMarker(ip, PeerMessage::Servers(0, all)));
             }
         }
     }
@@ -421,7 +429,7 @@
             ToMarker::Hello { incarnation: life, name, in_force: has, servers } => {
                 // What it knows may be more than is known here, after a start of all.
                 let (_, ended) = self.learn(now, servers, out);
-                let (all, markers) = (self.registry.all(), self.markers());
+                let (all, markers) = (self.registry.live(), self.markers());
                 self.sessions.open(
                     now,
                     session,
@@ -434,31 +442,31 @@
                     &self.zone,
                     out,
                 );
-                self.sessions.tell(session, Update::Contact(self.contact), out);
+                self.sessions.send(session, Update::Contact(self.contact), out);
                 if !ended.is_empty() {
-                    self.sessions.tell(session, Update::Servers(ended), out);
+                    self.sessions.send(session, Update::Servers(ended), out);
                 }
                 if self.knows_members {
                     let (all, missed) = self.told_members;
-                    self.sessions.tell(session, Update::Gatekeepers(all, missed), out);
+                    self.sessions.send(session, Update::Gatekeepers(all, missed), out);
                 }
             }
             ToMarker::Ping => {
                 self.sessions.on_ping(now, session);
-                out.push(Output::Tell(session, ToGatekeeper::Pong));
+                out.push(Output::SendToGatekeeper(session, ToGatekeeper::Pong));
             }
             ToMarker::Attach(home) => {
-                self.tally.close(session);
-                if let (true, Some(life)) = (home, self.sessions.life(session)) {
-                    self.tally.open(session, life);
+                self.tally.detach(session);
+                if let (true, Some(life)) = (home, self.sessions.incarnation(session)) {
+                    self.tally.attach(session, life);
                 }
-                self.sessions.on_home(session, home);
+                self.sessions.on_attached(session, home);
                 self.sessions_at = 0;
             }
-            ToMarker::Acknowledge(number) => self.sessions.on_got(session, number, out),
-            ToMarker::InForce(revision) => self.sessions.on_has(session, revision),
-            ToMarker::RequestFull(revision) => self.sessions.on_lacks(session, revision, out),
-            ToMarker::Usage(number, adds) => self.tally.on_adds(now, session, number, &adds),
+            ToMarker::Acknowledge(number) => self.sessions.on_acknowledged(session, number, out),
+            ToMarker::InForce(revision) => self.sessions.on_in_force(session, revision),
+            ToMarker::RequestFull(revision) => self.sessions.on_difference_failed(session, revision, out),
+            ToMarker::Usage(number, adds) => self.tally.on_usage(now, session, number, &adds),
             ToMarker::Leave => self.on_leaving(now, session, out),
         }
         self.after(now, out);
@@ -467,21 +475,22 @@
     /// A gatekeeper says that its process ends: its part of each quota is the others'.
     fn on_leaving(&mut self, now: Millis, session: SessionId, out: &mut Vec<Output>) {
         let Some(name) = self.sessions.name(session) else { return };
-        self.tally.close(session);
-        self.members.end(now, &name, 0);
+        self.tally.detach(session);
+        self.members.on_end(now, &name, 0);
         for ip in self.core.known_markers() {
-            out.push(Output::Send(ip, PeerMessage::GatekeeperLeft(name.clone())));
+            out.push(Output::SendToMarker(ip, PeerMessage::GatekeeperLeft(name.clone())));
         }
     }
 
     /// A session ends; `closed` says that its peer closed it. A gatekeeper that goes on says first that this is not its home
     /// any more: one that has not is no more. A broken or silent connection says nothing of its gatekeeper.
     pub fn on_closed(&mut self, now: Millis, session: SessionId, closed: bool, out: &mut Vec<Output>) {
-        let is_home = self.sessions.life(session).is_some_and(|life| self.tally.lives().contains(&life));
+        let is_home =
+            self.sessions.incarnation(session).is_some_and(|life| self.tally.incarnations().contains(&life));
         if closed && is_home {
             self.on_leaving(now, session, out);
         }
-        self.tally.close(session);
+        self.tally.detach(session);
         self.sessions.close(session);
     }
 
@@ -516,39 +525,43 @@
         if now >= self.totals_at + TOTALS {
             self.totals_at = now;
             let due = now >= self.adds_at + ADDS;
-            let batch = if due { self.tally.batch() } else { Vec::new() };
+            let batch = if due { self.tally.take_batch() } else { Vec::new() };
             if !batch.is_empty() {
                 self.adds_at = now;
-                out.extend(peers.iter().map(|ip| Output::Send(*ip, PeerMessage::Usage(batch.clone()))));
+                out.extend(
+                    peers.iter().map(|ip| Output::SendToMarker(*ip, PeerMessage::Usage(batch.clone()))),
+                );
             }
-            for (id, recent) in self.tally.beginnings(now) {
-                out.push(Output::Tell(id, ToGatekeeper::Recent(recent)));
+            for (id, recent) in self.tally.take_recent_use(now) {
+                out.push(Output::SendToGatekeeper(id, ToGatekeeper::Recent(recent)));
             }
-            let news = self.tally.news(now).into_iter();
-            out.extend(
-                news.map(|(id, number, totals)| Output::Tell(id, ToGatekeeper::Totals(number, totals))),
-            );
+            let news = self.tally.take_updates(now).into_iter();
+            out.extend(news.map(|(id, number, totals)| {
+                Output::SendToGatekeeper(id, ToGatekeeper::Totals(number, totals))
+            }));
         }
         if now >= self.alive_at + ALIVE {
             self.alive_at = now;
-            let beaten = self.registry.beaten();
+            let beaten = self.registry.take_local_heartbeats();
             if !beaten.is_empty() {
-                out.extend(peers.iter().map(|ip| Output::Send(*ip, PeerMessage::Alive(beaten.clone()))));
+                out.extend(
+                    peers.iter().map(|ip| Output::SendToMarker(*ip, PeerMessage::Alive(beaten.clone()))),
+                );
             }
         }
         if self.servers_changed && now >= self.servers_at + SERVERS {
             (self.servers_at, self.servers_changed) = (now, false);
-            out.push(Output::Servers(self.registry.all()));
+            out.push(Output::StoreServers(self.registry.live()));
         }
         if now >= self.sessions_at + SESSIONS {
             self.sessions_at = now;
             let known = self.core.known_markers();
-            self.repair.sweep(now, |ip| known.contains(ip));
+            self.repair.expire(now, |ip| known.contains(ip));
             self.look_at_members(now, &peers, out);
             let markers = self.markers();
             if markers != self.told_markers {
                 self.told_markers.clone_from(&markers);
-                self.sessions.tell_all(&Update::Markers(markers), out);
+                self.sessions.send_all(&Update::Markers(markers), out);
             }
         }
         self.after(now, out);
@@ -556,32 +569,32 @@
 
     /// Tells the other markers whose home this one is, and gatekeepers how many there are, where it has changed.
     fn look_at_members(&mut self, now: Millis, peers: &[Ipv4Addr], out: &mut Vec<Output>) {
-        let here = self.sessions.names(now, &self.tally.lives());
-        self.members.take(now, self.core.me().ip, here.clone(), true);
+        let here = self.sessions.names(now, &self.tally.incarnations());
+        self.members.on_report(now, self.core.me().ip, here.clone(), true);
         if here != self.told_here || now >= self.here_at + HERE {
             (self.told_here, self.here_at) = (here.clone(), now);
-            let (missed, ended) = (self.members.missed(now), self.members.ended(now));
+            let (missed, ended) = (self.members.missing(now), self.members.ended(now));
             let word = PeerMessage::Sessions { zone: self.zone.clone(), names: here, missed, ended };
-            out.extend(peers.iter().map(|ip| Output::Send(*ip, word.clone())));
+            out.extend(peers.iter().map(|ip| Output::SendToMarker(*ip, word.clone())));
         }
         self.counts_with = self.core.quota_group();
         let all_together = self.core.quota_group_is_complete(&self.counts_with);
         let (counted, heard) = (&self.counts_with, &self.peers);
-        let counts = self.members.look(now, all_together, |ip| {
+        let counts = self.members.update(now, all_together, |ip| {
             heard.get(&ip).filter(|_| counted.contains(&ip)).map(|peer| peer.heard)
         });
         self.knows_members |= now >= self.begun + KNOWS;
         if self.knows_members {
             let (all, missed) = self.told_members;
-            self.tally.grant(now, f64::from(all - missed.min(all)) / f64::from(all.max(1)));
+            self.tally.set_quota_fraction(now, f64::from(all - missed.min(all)) / f64::from(all.max(1)));
         }
         if counts != self.told_members && self.knows_members {
             self.told_members = counts;
-            self.sessions.tell_all(&Update::Gatekeepers(counts.0, counts.1), out);
+            self.sessions.send_all(&Update::Gatekeepers(counts.0, counts.1), out);
         }
         let names = self.members.names();
         if names != self.stored_members && now >= self.begun + KNOWS {
-            out.push(Output::Gatekeepers(names.clone()));
+            out.push(Output::StoreGatekeepers(names.clone()));
             self.stored_members = names;
         }
     }
@@ -593,13 +606,13 @@
             return;
         };
         let waits = self.reaping.as_ref().is_some_and(|reaping| now < reaping.at + REAP);
-        let silent = if waits { Vec::new() } else { self.registry.silent(now) };
+        let silent = if waits { Vec::new() } else { self.registry.timed_out(now) };
         if silent.is_empty() {
             return;
         }
-        let ticket = self.sessions.ticket();
+        let ticket = self.sessions.next_ticket();
         for ip in self.core.known_markers() {
-            out.push(Output::Send(ip, PeerMessage::ConfirmExpired(number, ticket, silent.clone())));
+            out.push(Output::SendToMarker(ip, PeerMessage::ConfirmExpired(number, ticket, silent.clone())));
         }
         self.reaping = Some(Reaping { ticket, at: now, silent, told: BTreeSet::new() });
         self.on_reaped(now, self.core.me().ip, ticket, out);
@@ -614,7 +627,7 @@
             return;
         }
         let Some(Reaping { silent, .. }) = self.reaping.take() else { return };
-        let ended = self.registry.end(now, silent);
+        let ended = self.registry.end_timed_out(now, silent);
         if !ended.is_empty() {
             self.tell_servers(ended.clone(), out);
             self.pass_on(now, ended, 0, None, out);
@@ -643,7 +656,7 @@
         if now >= asking.at + AGAIN || asking.at == 0 {
             asking.at = now;
             for ip in live.into_iter().filter(|ip| !asking.answers.contains_key(ip)) {
-                out.push(Output::Send(ip, PeerMessage::CatchUp(asking.number)));
+                out.push(Output::SendToMarker(ip, PeerMessage::CatchUp(asking.number)));
             }
         }
         let answered = self.core.majority_of_core(|ip| asking.answers.contains_key(&ip));
@@ -657,7 +670,7 @@
         let since = now - self.contact_at;
         log::info!("{} contact, after {since} ms", if self.contact { "in" } else { "out of" });
         self.contact_at = now;
-        self.sessions.tell_all(&Update::Contact(self.contact), out);
+        self.sessions.send_all(&Update::Contact(self.contact), out);
     }
 
     /// A marker of a zone that is heard, where it is another than this one's.
@@ -680,26 +693,26 @@
         let sure: Vec<_> = out
             .iter()
             .filter_map(|o| match o {
-                Output::Sure(document) => Some(document.clone()),
+                Output::Committed(document) => Some(document.clone()),
                 _ => None,
             })
             .collect();
-        out.retain(|o| !matches!(o, Output::Sure(_)));
+        out.retain(|o| !matches!(o, Output::Committed(_)));
         for document in sure {
-            self.sessions.configure(now, &document, out);
+            self.sessions.on_committed(now, &document, out);
         }
         // After what is safe, so that whoever hears of contact has what came with it.
         self.watch_contact(now, out);
-        for (waiter, told) in self.sessions.known(now) {
+        for (waiter, told) in self.sessions.finished_waits(now) {
             // A gatekeeper in touch has a session with one of any majority, or is told all when it opens one.
             let most = || self.contact && self.core.majority_of_core(|ip| told.contains(&ip));
             out.push(match waiter {
                 Waiter::Call(id) if most() => Output::Answer(id, Reply::done()),
                 Waiter::Call(id) => Output::Answer(
                     id,
-                    Reply::fault(ErrorKind::Uncertain, "most markers have not said that all know"),
+                    Reply::failure(ErrorKind::Uncertain, "most markers have not said that all know"),
                 ),
-                Waiter::Marker(ip, ticket) => Output::Send(ip, PeerMessage::Delivered(ticket)),
+                Waiter::Marker(ip, ticket) => Output::SendToMarker(ip, PeerMessage::Delivered(ticket)),
             });
         }
     }
@@ -721,8 +734,8 @@
             (format!("{duty:?}").to_lowercase(), holder.unwrap_or_default())
         });
         let duties: serde_json::Map<String, serde_json::Value> = duties.collect();
-        let (kept, handed, dropped) = self.repair.figures();
-        let (have, of) = view.committed.map_or((0, 0), |version| self.sessions.have(version));
+        let (kept, handed, dropped) = self.repair.counters();
+        let (have, of) = view.committed.map_or((0, 0), |version| self.sessions.count_in_force(version));
         serde_json::json!({
             "marker": self.me().ip.to_string(),
             "leads": view.is_primary,
@@ -737,7 +750,7 @@
             "sessions-with-version": have,
             "gatekeepers": self.members.names(),
             "markers": self.markers().iter().map(ToString::to_string).collect::<Vec<_>>(),
-            "servers": self.registry.all().len(),
+            "servers": self.registry.live().len(),
             "duties": duties,
             "ends-kept": kept,
             "ends-handed-over": handed,
--- a/crates/marker/src/store.rs
+++ b/crates/marker/src/store.rs
@@ -1,13 +1,13 @@
 //! What a marker keeps on disk: one writer, in a thread of its own, so that a slow disk holds up nothing else.
 //!
-//! Each write is a whole [`Keeping`]; of those that wait only the newest is written, and all of them are then said to
-//! be there. Of the ledger only what has changed is written, a row a number. A write that fails is tried again: what
-//! can't be kept is never answered for.
+//! Each write is a whole [`PersistentState`]; of those that wait only the newest is written, and all of them
+//! are then said to be there. Of the ledger only what has changed is written, a row a number. A write that
+//! fails is tried again: what can't be kept is never answered for.
 //!
 //! A folder of the first form, which kept no ledger, is carried over as it is opened: the configuration that it holds
 //! is the one content known, and of the numbers below that nothing is.
 
-use crate::parts::Keeping;
+use crate::types::PersistentState;
 use granitelead_control_protocol::messages::{Digest, Document, Epoch, Instance, Ledger};
 use rusqlite::{params, Connection, ErrorCode, OptionalExtension};
 use serde::de::DeserializeOwned;
@@ -95,7 +95,7 @@
     /// The folder, open.
     pub store: Store,
     /// What was kept, unless it is empty.
-    pub kept: Option<Keeping>,
+    pub kept: Option<PersistentState>,
     /// The servers that were known last.
     pub servers: Vec<Instance>,
     /// The gatekeepers that were known last, by name.
@@ -234,7 +234,7 @@
     /// # Errors
     ///
     /// Why it can't be read.
-    pub fn read(&mut self) -> Result<Option<Keeping>, Fault> {
+    pub fn read(&mut self) -> Result<Option<PersistentState>, Fault> {
         let (Some(node), Some(promised)) = (self.get("node")?, self.get("promised")?) else {
             return Ok(None);
         };
@@ -243,12 +243,12 @@
         let sure = self.get::<Option<u32>>("sure")?.flatten();
         // Not kept by the first programs of this form.
         let copied = self.get("copied")?.unwrap_or_default();
-        let ballots = self.get("ballots")?.unwrap_or_default();
+        let duty_promises = self.get("ballots")?.unwrap_or_default();
         let document = self.get::<Option<Document>>("document")?.flatten();
         self.document = document.map(Arc::new);
         self.ledger = Arc::new(self.read_ledger()?);
         let (document, ledger) = (self.document.clone(), self.ledger.clone());
-        Ok(Some(Keeping { node, promised, copied, epoch, document, ledger, sure, ballots }))
+        Ok(Some(PersistentState { node, promised, copied, epoch, document, ledger, sure, duty_promises }))
     }
 
     fn read_ledger(&self) -> Result<Ledger, Fault> {
@@ -318,14 +318,14 @@
     /// # Errors
     ///
     /// Why it is not kept.
-    pub fn write(&mut self, keeping: &Keeping) -> Result<(), Fault> {
+    pub fn write(&mut self, keeping: &PersistentState) -> Result<(), Fault> {
         self.put(keeping).context(DiskSnafu { file: &self.file })?;
         self.document.clone_from(&keeping.document);
         self.ledger.clone_from(&keeping.ledger);
         Ok(())
     }
 
-    fn put(&mut self, keeping: &Keeping) -> rusqlite::Result<()> {
+    fn put(&mut self, keeping: &PersistentState) -> rusqlite::Result<()> {
         let same = match (&self.document, &keeping.document) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
             (None, None) => true,
@@ -338,7 +338,7 @@
             put.execute(params!["node", bytes(&keeping.node)])?;
             put.execute(params!["promised", bytes(&keeping.promised)])?;
             put.execute(params!["copied", bytes(&keeping.copied)])?;
-            put.execute(params!["ballots", bytes(&keeping.ballots)])?;
+            put.execute(params!["ballots", bytes(&keeping.duty_promises)])?;
             put.execute(params!["epoch", bytes(&keeping.epoch)])?;
             put.execute(params!["sure", bytes(&keeping.sure)])?;
             if !same {
@@ -383,7 +383,7 @@
 #[derive(Debug)]
 pub enum Job {
     /// What has to last, under a ticket.
-    Keep(u64, Keeping),
+    Keep(u64, PersistentState),
     /// The servers, which may be lost.
     Servers(Vec<Instance>),
     /// The names of the gatekeepers, which may be lost.
@@ -393,7 +393,7 @@
 /// What waits to be written: of each kind the newest alone.
 #[derive(Default)]
 struct Pending {
-    keep: Option<(u64, Keeping)>,
+    keep: Option<(u64, PersistentState)>,
     servers: Option<Vec<Instance>>,
     gatekeepers: Option<Vec<String>>,
 }
@@ -446,10 +446,10 @@
     use crate::core;
     use googletest::prelude::*;
 
-    fn keeping(version: u32) -> Keeping {
+    fn keeping(version: u32) -> PersistentState {
         let ip = [10, 1, 0, 2].into();
         let document = Some(Arc::new(Document { version, bytes: vec![7; 100_000] }));
-        Keeping { document, ..core::initial_state(ip, &[ip], true, 5) }
+        PersistentState { document, ..core::initial_state(ip, &[ip], true, 5) }
     }
 
     #[gtest]
@@ -457,7 +457,7 @@
         let mut store = Store::in_memory().unwrap();
         expect_that!(store.read().unwrap(), none());
         let outside = core::initial_state([10, 1, 0, 2].into(), &[], false, 5);
-        for kept in [keeping(1), Keeping { sure: Some(2), ..keeping(2) }, outside] {
+        for kept in [keeping(1), PersistentState { sure: Some(2), ..keeping(2) }, outside] {
             store.write(&kept).unwrap();
             expect_that!(store.read().unwrap(), some(eq(&kept)));
         }
@@ -490,7 +490,7 @@
         let mut store = Store::open(&written.0).unwrap();
         let small = |version| {
             let document = Some(Arc::new(Document { version, bytes: vec![7; 6_000] }));
-            Keeping { document, ..keeping(version) }
+            PersistentState { document, ..keeping(version) }
         };
         store.write(&small(1)).unwrap();
         store.write(&small(2)).unwrap();
@@ -537,7 +537,7 @@
         let pages: i64 = store.disk.pragma_query_value(None, "page_count", |row| row.get(0)).unwrap();
         store.disk.pragma_update(None, "max_page_count", pages + 1).unwrap();
         let large = Some(Arc::new(Document { version: 2, bytes: vec![8; 400_000] }));
-        let larger = Keeping { document: large, ..keeping(2) };
+        let larger = PersistentState { document: large, ..keeping(2) };
         let fault = store.write(&larger).unwrap_err();
         expect_true!(fault.may_pass());
         expect_that!(store.read().unwrap(), some(eq(&keeping(1))));
--- a/crates/marker/src/tally.rs
+++ b/crates/marker/src/tally.rs
@@ -6,7 +6,7 @@
 //! that restarts can begin at 0. A gatekeeper that attaches to this marker is first sent the recent use, so
 //! that it does not start with a full quota.
 
-use crate::parts::{Millis, SessionId};
+use crate::types::{Millis, SessionId};
 use granitelead_common::recent_use::{RecentUse, WindowUsage};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -73,7 +73,7 @@
     }
 
     /// A gatekeeper attaches to this marker.
-    pub fn open(&mut self, session: SessionId, incarnation: u64) {
+    pub fn attach(&mut self, session: SessionId, incarnation: u64) {
         // It gets an update at once, even an empty one: until then it knows nothing of the other
         // gatekeepers.
         let changed_tenants = self.totals.keys().cloned().collect();
@@ -88,18 +88,18 @@
     }
 
     /// A gatekeeper has attached to another marker, or has gone.
-    pub fn close(&mut self, session: SessionId) {
+    pub fn detach(&mut self, session: SessionId) {
         self.gatekeepers.remove(&session);
     }
 
     /// The incarnations of the gatekeepers attached to this marker.
-    pub fn lives(&self) -> Vec<u64> {
+    pub fn incarnations(&self) -> Vec<u64> {
         self.gatekeepers.values().map(|gatekeeper| gatekeeper.incarnation).collect()
     }
 
     /// Takes in the usage of a gatekeeper since its last report, under a rising sequence number: repeated
     /// reports are ignored.
-    pub fn on_adds(&mut self, now: Millis, session: SessionId, number: u64, adds: &[(String, u64)]) {
+    pub fn on_usage(&mut self, now: Millis, session: SessionId, number: u64, adds: &[(String, u64)]) {
         let Some(gatekeeper) =
             self.gatekeepers.get_mut(&session).filter(|gatekeeper| number > gatekeeper.last_number)
         else {
@@ -116,11 +116,11 @@
                 *self.batch.entry(tenant.clone()).or_default() += n;
             }
         }
-        self.count(now, adds);
+        self.add_usage(now, adds);
     }
 
     /// Takes in usage that was reported to another marker.
-    pub fn count(&mut self, now: Millis, adds: &[(String, u64)]) {
+    pub fn add_usage(&mut self, now: Millis, adds: &[(String, u64)]) {
         self.has_new_usage |= !adds.is_empty();
         for (tenant, n) in adds {
             if self.totals.len() >= TENANTS_MAX && !self.totals.contains_key(tenant) {
@@ -135,19 +135,19 @@
     }
 
     /// Takes the usage that the other markers have still to be sent.
-    pub fn batch(&mut self) -> Vec<(String, u64)> {
+    pub fn take_batch(&mut self) -> Vec<(String, u64)> {
         std::mem::take(&mut self.batch).into_iter().collect()
     }
 
     /// Sets the fraction of each quota that the reachable gatekeepers share.
-    pub fn grant(&mut self, now: Millis, fraction: f64) {
+    pub fn set_quota_fraction(&mut self, now: Millis, fraction: f64) {
         self.quota_fraction = fraction;
         self.recent.grant(now, fraction);
     }
 
     /// Returns the recent use, once for each gatekeeper that has attached to this marker since the last
     /// call.
-    pub fn beginnings(&mut self, now: Millis) -> Vec<(SessionId, WindowUsage)> {
+    pub fn take_recent_use(&mut self, now: Millis) -> Vec<(SessionId, WindowUsage)> {
         let new = self.gatekeepers.iter_mut().filter_map(|(session, gatekeeper)| {
             std::mem::take(&mut gatekeeper.needs_recent_use).then_some(*session)
         });
@@ -162,7 +162,7 @@
     /// Returns the due updates: for each gatekeeper the number of its newest usage report, and the changed
     /// tenants with total and own part. For a time after the last report empty updates follow as well:
     /// gatekeepers that wait for quota must learn that nothing was added.
-    pub fn news(&mut self, now: Millis) -> Vec<(SessionId, u64, Totals)> {
+    pub fn take_updates(&mut self, now: Millis) -> Vec<(SessionId, u64, Totals)> {
         if std::mem::take(&mut self.has_new_usage) {
             self.added_at = now;
         }
@@ -197,21 +197,21 @@
     #[gtest]
     fn totals_include_all_usage_and_count_repeated_reports_once() {
         let (mut here, mut there) = (Tally::default(), Tally::default());
-        here.open(1, 11);
-        here.open(2, 12);
-        there.open(1, 13);
-        here.on_adds(0, 1, 1, &adds(5));
-        here.on_adds(0, 1, 1, &adds(5));
-        here.on_adds(0, 2, 1, &adds(2));
-        here.on_adds(0, 9, 1, &adds(100));
-        there.count(0, &here.batch());
+        here.attach(1, 11);
+        here.attach(2, 12);
+        there.attach(1, 13);
+        here.on_usage(0, 1, 1, &adds(5));
+        here.on_usage(0, 1, 1, &adds(5));
+        here.on_usage(0, 2, 1, &adds(2));
+        here.on_usage(0, 9, 1, &adds(100));
+        there.add_usage(0, &here.take_batch());
         expect_that!(
-            here.news(50),
+            here.take_updates(50),
             eq(&vec![(1, 1, vec![("t".into(), 7, 5)]), (2, 1, vec![("t".into(), 7, 2)])])
         );
-        expect_that!(there.news(50), eq(&vec![(1, 0, vec![("t".into(), 7, 0)])]));
-        expect_true!(here.news(60).is_empty() && here.batch().is_empty());
-        expect_that!(here.news(150), eq(&vec![(1, 1, vec![]), (2, 1, vec![])]));
-        expect_true!(here.news(4_000).is_empty());
+        expect_that!(there.take_updates(50), eq(&vec![(1, 0, vec![("t".into(), 7, 0)])]));
+        expect_true!(here.take_updates(60).is_empty() && here.take_batch().is_empty());
+        expect_that!(here.take_updates(150), eq(&vec![(1, 1, vec![]), (2, 1, vec![])]));
+        expect_true!(here.take_updates(4_000).is_empty());
     }
 }
--- a/crates/marker/src/parts.rs
+++ b/crates/marker/src/types.rs
@@ -13,7 +13,7 @@
 
 /// The state that must survive a restart.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Keeping {
+pub struct PersistentState {
     /// This marker's identity.
     pub node: Node,
     /// The promise: no epoch with a lower number is accepted any more.
@@ -29,7 +29,7 @@
     /// The newest version that is known to be committed, so that it can't be lost any more.
     pub sure: Option<u32>,
     /// The highest number promised for each duty: nothing under a lower one is accepted from its holder.
-    pub ballots: BTreeMap<Duty, ProposalNumber>,
+    pub duty_promises: BTreeMap<Duty, ProposalNumber>,
 }
 
 /// A reply to the call of a server or an operator.
@@ -40,11 +40,11 @@
     /// The configuration, byte for byte as the operator sent it.
     Document(Arc<Document>),
     /// A heartbeat was accepted; the server is to send later ones to this marker.
-    Beats(Ipv4Addr),
+    Heartbeat(Ipv4Addr),
     /// The call is redirected to another marker.
-    Elsewhere(Ipv4Addr),
+    Redirect(Ipv4Addr),
     /// The call failed, with its kind and a description.
-    Fault(ErrorKind, String),
+    Failure(ErrorKind, String),
 }
 
 impl Reply {
@@ -59,13 +59,13 @@
     }
 
     /// Redirects the call to another marker.
-    pub fn elsewhere(ip: Ipv4Addr) -> Reply {
-        Reply::Elsewhere(ip)
+    pub fn redirect(ip: Ipv4Addr) -> Reply {
+        Reply::Redirect(ip)
     }
 
     /// A failure of this kind with a description.
-    pub fn fault(kind: ErrorKind, what: impl ToString) -> Reply {
-        Reply::Fault(kind, what.to_string())
+    pub fn failure(kind: ErrorKind, what: impl ToString) -> Reply {
+        Reply::Failure(kind, what.to_string())
     }
 }
 
@@ -76,19 +76,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message to another marker.
-    Send(Ipv4Addr, PeerMessage),
+    SendToMarker(Ipv4Addr, PeerMessage),
     /// Send a message to a gatekeeper.
-    Tell(SessionId, ToGatekeeper),
+    SendToGatekeeper(SessionId, ToGatekeeper),
     /// Close the session of a gatekeeper that exceeds the session limit.
-    End(SessionId),
+    CloseSession(SessionId),
     /// Write this state to disk and report the ticket once it is durable.
-    Write(u64, Keeping),
+    Persist(u64, PersistentState),
     /// Reply to a call.
     Answer(u64, Reply),
     /// Store the servers on disk at low priority.
-    Servers(Vec<Instance>),
+    StoreServers(Vec<Instance>),
     /// Store the names of the gatekeepers on disk at low priority.
-    Gatekeepers(Vec<String>),
+    StoreGatekeepers(Vec<String>),
     /// A configuration is committed: it can't be lost any more.
-    Sure(Arc<Document>),
+    Committed(Arc<Document>),
 }
--- a/crates/marker/tests/callers.rs
+++ b/crates/marker/tests/callers.rs
@@ -17,7 +17,7 @@
 
 /// The waiters whose waits have ended.
 fn ended(sessions: &mut Sessions) -> Vec<Waiter> {
-    sessions.known(200).into_iter().map(|(waiter, _)| waiter).collect()
+    sessions.finished_waits(200).into_iter().map(|(waiter, _)| waiter).collect()
 }
 
 #[gtest]
@@ -25,17 +25,17 @@
     // A draining server waits until the gatekeepers of the other marker know; that marker confirms within
     // 0.55 s. By then this marker may have restarted and wait on behalf of another server.
     let mut earlier = sessions(1);
-    let ticket = earlier.wait(0, Waiter::Call(1), &[PEER]);
+    let ticket = earlier.start_wait(0, Waiter::Call(1), &[PEER]);
     let mut restarted = sessions(2);
-    let own = restarted.wait(100, Waiter::Call(2), &[PEER]);
-    restarted.on_told(PEER, ticket);
+    let own = restarted.start_wait(100, Waiter::Call(2), &[PEER]);
+    restarted.on_confirmed(PEER, ticket);
     expect_that!(ended(&mut restarted), is_empty());
-    restarted.on_told(Ipv4Addr::new(10, 0, 0, 3), own);
+    restarted.on_confirmed(Ipv4Addr::new(10, 0, 0, 3), own);
     expect_that!(ended(&mut restarted), is_empty());
-    restarted.on_told(PEER, own);
+    restarted.on_confirmed(PEER, own);
     expect_that!(ended(&mut restarted), elements_are![eq(&Waiter::Call(2))]);
     // A repeated confirmation finds no wait.
-    restarted.on_told(PEER, own);
+    restarted.on_confirmed(PEER, own);
     expect_that!(ended(&mut restarted), is_empty());
 }
 
@@ -43,13 +43,13 @@
 fn usage_reports_count_once_in_a_session_if_repeated_or_reordered() {
     let adds = |n: u64| vec![("t".to_owned(), n)];
     let mut tally = Tally::default();
-    tally.open(1, 11);
+    tally.attach(1, 11);
     for (session, number, n) in [(1, 1, 5), (1, 1, 5), (1, 2, 3), (1, 1, 5), (1, 2, 3), (2, 7, 9), (1, 3, 1)]
     {
-        tally.on_adds(0, session, number, &adds(n));
+        tally.on_usage(0, session, number, &adds(n));
     }
-    expect_that!(tally.news(100), elements_are![eq(&(1, 3, vec![("t".to_owned(), 9, 9)]))]);
+    expect_that!(tally.take_updates(100), elements_are![eq(&(1, 3, vec![("t".to_owned(), 9, 9)]))]);
     // The batch for the other markers includes each report once as well.
-    expect_that!(tally.batch(), elements_are![eq(&("t".to_owned(), 9))]);
-    expect_that!(tally.batch(), is_empty());
+    expect_that!(tally.take_batch(), elements_are![eq(&("t".to_owned(), 9))]);
+    expect_that!(tally.take_batch(), is_empty());
 }
--- a/crates/marker/tests/common/world.rs
+++ b/crates/marker/tests/common/world.rs
@@ -17,7 +17,7 @@
 use granitelead_common::error_kinds::ErrorKind;
 use granitelead_control_protocol::messages::{Document, Node, PeerMessage, ProposalNumber};
 use marker::core::{initial_state, Core};
-use marker::parts::{Keeping, Output, Reply};
+use marker::types::{Output, PersistentState, Reply};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::Ipv4Addr;
@@ -46,7 +46,7 @@
     /// Counts starts, so that events for an earlier process are dropped.
     pub incarnation: u32,
     pub core: Option<Core>,
-    pub disk: Option<Keeping>,
+    pub disk: Option<PersistentState>,
     pub disk_ms: u64,
     pub cut: bool,
     pub deaf: bool,
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub enum Event {
     Message(usize, u32, Node, Box<PeerMessage>),
-    Written(usize, u32, u64, Box<Keeping>),
+    Written(usize, u32, u64, Box<PersistentState>),
     Tick(usize, u32),
     CheckExit(usize, u32),
     /// An operator's call: its number, the marker it goes to, and the number of attempts.
@@ -279,7 +279,7 @@
         let (me, view) = (core.me(), core.view());
         for output in out {
             match output {
-                Output::Send(to, mut message) => {
+                Output::SendToMarker(to, mut message) => {
                     self.tamper.into_iter().for_each(|tamper| tamper(&mut message));
                     let Some(to) = self.machines.iter().position(|p| p.ip == to) else { continue };
                     let lost = self.rng.f64() < self.message_loss;
@@ -289,7 +289,7 @@
                     let (delay, incarnation) = (self.rng.u64(1..4), self.machines[to].incarnation);
                     self.schedule(delay, Event::Message(to, incarnation, me, Box::new(message)));
                 }
-                Output::Write(ticket, keeping) => {
+                Output::Persist(ticket, keeping) => {
                     let delay = self.machines[n].disk_ms;
                     self.schedule(delay, Event::Written(n, incarnation, ticket, Box::new(keeping)));
                 }
@@ -299,11 +299,11 @@
                     let epoch = view.epoch.as_ref().filter(|_| view.is_primary).map(|e| e.number);
                     self.on_answer(id, n, reply, epoch);
                 }
-                Output::Tell(..)
-                | Output::End(_)
-                | Output::Sure(_)
-                | Output::Servers(_)
-                | Output::Gatekeepers(_) => {}
+                Output::SendToGatekeeper(..)
+                | Output::CloseSession(_)
+                | Output::Committed(_)
+                | Output::StoreServers(_)
+                | Output::StoreGatekeepers(_) => {}
             }
         }
     }
@@ -328,7 +328,7 @@
                 outcome = Some(Outcome::Confirmed);
                 None
             }
-            (Reply::Fault(ErrorKind::Conflict, _), Some(Call::Put(..))) => {
+            (Reply::Failure(ErrorKind::Conflict, _), Some(Call::Put(..))) => {
                 outcome = Some(Outcome::Refused);
                 None
             }
@@ -343,11 +343,11 @@
                 outcome = Some(Outcome::Read(read.version, content(read)));
                 None
             }
-            (Reply::Fault(kind, _), Some(Call::Get { since: 0 })) if kind.status() == 404 => {
+            (Reply::Failure(kind, _), Some(Call::Get { since: 0 })) if kind.status() == 404 => {
                 outcome = Some(Outcome::NotConfigured);
                 None
             }
-            (Reply::Elsewhere(to), Some(_)) => self.machines.iter().position(|p| p.ip == *to),
+            (Reply::Redirect(to), Some(_)) => self.machines.iter().position(|p| p.ip == *to),
             (_, Some(_)) => Some((n + 1) % self.machines.len()),
             (_, None) => None,
         };
--- a/crates/marker/tests/core.rs
+++ b/crates/marker/tests/core.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use granitelead_control_protocol::messages::{PeerMessage, ProposalNumber};
 use marker::core::{initial_state, Core};
-use marker::parts::Output;
+use marker::types::Output;
 use std::net::Ipv4Addr;
 
 #[gtest]
@@ -497,8 +497,8 @@
         a.on_tick(now, &mut out);
         while let Some(output) = out.pop() {
             match output {
-                Output::Write(ticket, _) => a.on_written(now, ticket, &mut out),
-                Output::Send(to, message) if to == ip(1) => match message {
+                Output::Persist(ticket, _) => a.on_written(now, ticket, &mut out),
+                Output::SendToMarker(to, message) if to == ip(1) => match message {
                     PeerMessage::Prepare(number) => inbox.push(PeerMessage::Promise(number, a.view().epoch)),
                     PeerMessage::InstallSnapshot(number, _) => {
                         inbox.push(PeerMessage::SnapshotInstalled(number))
--- a/crates/marker/tests/history.rs
+++ b/crates/marker/tests/history.rs
@@ -12,8 +12,8 @@
 use granitelead_control_protocol::frames;
 use granitelead_control_protocol::messages::{Document, Message, PeerMessage, Revision};
 use marker::core::initial_state;
-use marker::parts::Keeping;
 use marker::store::Store;
+use marker::types::PersistentState;
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -326,7 +326,7 @@
     most
 }
 
-fn read_back(directory: &Path, keeping: &Keeping) {
+fn read_back(directory: &Path, keeping: &PersistentState) {
     let found = Store::find(directory).unwrap();
     assert!(!found.forgot);
     assert_eq!(found.kept.as_ref(), Some(keeping));
--- a/crates/marker/tests/model.rs
+++ b/crates/marker/tests/model.rs
@@ -19,7 +19,7 @@
 };
 use marker::agreement::{AfterWrite, Agreement, ChangeBatch, Effect};
 use marker::core::initial_state;
-use marker::parts::Keeping;
+use marker::types::PersistentState;
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -99,7 +99,7 @@
     violation: Option<&'static str>,
 }
 
-/// The part of [`Keeping`] that the agreement uses, in a hashable form.
+/// The part of [`PersistentState`] that the agreement uses, in a hashable form.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct DiskState(
     Node,
@@ -111,16 +111,25 @@
     Arc<Ledger>,
 );
 
-impl From<Keeping> for DiskState {
-    fn from(k: Keeping) -> DiskState {
+impl From<PersistentState> for DiskState {
+    fn from(k: PersistentState) -> DiskState {
         DiskState(k.node, k.promised, k.copied, k.epoch, k.document, k.sure, k.ledger)
     }
 }
 
-impl From<DiskState> for Keeping {
-    fn from(state: DiskState) -> Keeping {
+impl From<DiskState> for PersistentState {
+    fn from(state: DiskState) -> PersistentState {
         let DiskState(node, promised, copied, epoch, document, sure, ledger) = state;
-        Keeping { node, promised, copied, epoch, document, ledger, sure, ballots: BTreeMap::new() }
+        PersistentState {
+            node,
+            promised,
+            copied,
+            epoch,
+            document,
+            ledger,
+            sure,
+            duty_promises: BTreeMap::new(),
+        }
     }
 }
 
@@ -548,8 +557,10 @@
             }
             Event::Deliver(from, n, message) => match (self.mutation, &*message) {
                 (Mutation::AppliesRepeatedCopy, PeerMessage::InstallSnapshot(..)) => {
-                    let keeping =
-                        Keeping { copied: ProposalNumber::default(), ..next.markers[n].persistent_state() };
+                    let keeping = PersistentState {
+                        copied: ProposalNumber::default(),
+                        ..next.markers[n].persistent_state()
+                    };
                     next.markers[n] = Arc::new(Agreement::new(keeping));
                     self.step(&mut next, n, |a, effects| {
                         a.on_message(from, PeerMessage::clone(&message), effects)
--- a/crates/marker/tests/pushes.rs
+++ b/crates/marker/tests/pushes.rs
@@ -2,8 +2,8 @@
 
 use googletest::prelude::*;
 use granitelead_control_protocol::messages::{Document, Revision, ToGatekeeper, Update};
-use marker::parts::Output;
 use marker::sessions::{Sessions, SESSIONS_MAX};
+use marker::types::Output;
 use std::sync::Arc;
 
 fn document(version: u32) -> Arc<Document> {
@@ -13,16 +13,18 @@
 fn open(sessions: &mut Sessions, id: u64, out: &mut Vec<Output>) {
     let committed = document(1);
     sessions.open(0, id, id, format!("g{id}"), None, Some(&committed), Vec::new(), Vec::new(), "a", out);
-    sessions.on_home(id, true);
+    sessions.on_attached(id, true);
 }
 
 /// The configurations that were sent to a session, as message number and version.
 fn sent(out: &[Output], to: u64) -> Vec<(u64, u32)> {
     let of = |output: &Output| match output {
-        Output::Tell(id, ToGatekeeper::Update(number, Update::Configuration(d))) if *id == to => {
+        Output::SendToGatekeeper(id, ToGatekeeper::Update(number, Update::Configuration(d))) if *id == to => {
             Some((*number, d.version))
         }
-        Output::Tell(id, ToGatekeeper::Update(number, Update::ConfigurationDifference(d))) if *id == to => {
+        Output::SendToGatekeeper(id, ToGatekeeper::Update(number, Update::ConfigurationDifference(d)))
+            if *id == to =>
+        {
             Some((*number, d.to.version))
         }
         _ => None,
@@ -38,24 +40,24 @@
     open(&mut sessions, 1, &mut out);
     expect_that!(sent(&out, 1), elements_are![eq(&(1, 1))]);
     for version in 2..300 {
-        sessions.configure(u64::from(version) * 100, &document(version), &mut out);
+        sessions.on_committed(u64::from(version) * 100, &document(version), &mut out);
         sessions.on_tick(u64::from(version) * 100 + 50, &mut out);
     }
     // Without an acknowledgement nothing more is sent.
     expect_that!(sent(&out, 1), elements_are![eq(&(1, 1))]);
     out.clear();
-    sessions.on_got(1, 1, &mut out);
-    sessions.on_has(1, Revision { version: 1, ..document(1).revision() });
+    sessions.on_acknowledged(1, 1, &mut out);
+    sessions.on_in_force(1, Revision { version: 1, ..document(1).revision() });
     let newest = sent(&out, 1);
     expect_that!(newest, elements_are![(anything(), eq(&299))]);
     // The gatekeeper acknowledges that and is sent nothing more.
     out.clear();
-    sessions.on_has(1, document(299).revision());
-    sessions.on_got(1, newest[0].0, &mut out);
+    sessions.on_in_force(1, document(299).revision());
+    sessions.on_acknowledged(1, newest[0].0, &mut out);
     sessions.on_tick(40_000, &mut out);
     expect_that!(sent(&out, 1), is_empty());
     // The next change is sent at once again.
-    sessions.configure(40_000, &document(300), &mut out);
+    sessions.on_committed(40_000, &document(300), &mut out);
     expect_that!(sent(&out, 1), elements_are![(anything(), eq(&300))]);
 }
 
@@ -67,8 +69,8 @@
     for id in 0..SESSIONS_MAX as u64 {
         open(&mut sessions, id, &mut out);
     }
-    expect_that!(out.iter().filter(|output| matches!(output, Output::End(_))).count(), eq(0));
+    expect_that!(out.iter().filter(|output| matches!(output, Output::CloseSession(_))).count(), eq(0));
     out.clear();
     open(&mut sessions, SESSIONS_MAX as u64, &mut out);
-    expect_that!(out, elements_are![eq(&Output::End(SESSIONS_MAX as u64))]);
+    expect_that!(out, elements_are![eq(&Output::CloseSession(SESSIONS_MAX as u64))]);
 }
--- a/crates/marker/tests/store.rs
+++ b/crates/marker/tests/store.rs
@@ -4,8 +4,8 @@
 use granitelead_control_protocol::ledger::{VersionState, VERSIONS_MAX};
 use granitelead_control_protocol::messages::{Digest, Document, Ledger};
 use marker::core::initial_state;
-use marker::parts::Keeping;
 use marker::store::Store;
+use marker::types::PersistentState;
 use rusqlite::Connection;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -32,10 +32,10 @@
     }
 }
 
-fn keeping(version: u32, ledger: &Ledger) -> Keeping {
+fn keeping(version: u32, ledger: &Ledger) -> PersistentState {
     let ip = [10, 1, 0, 2].into();
     let document = Some(Arc::new(Document { version, bytes: vec![7; 100] }));
-    Keeping { document, ledger: Arc::new(ledger.clone()), ..initial_state(ip, &[ip], true, 5) }
+    PersistentState { document, ledger: Arc::new(ledger.clone()), ..initial_state(ip, &[ip], true, 5) }
 }
 
 #[gtest]
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -31,8 +31,8 @@
 use granitelead_proxy::control::Control;
 use granitelead_proxy::gate::Gate;
 use marker::core::{initial_state, Core};
-use marker::parts::{Keeping, Output, Reply};
 use marker::state::{Call, Marker};
+use marker::types::{Output, PersistentState, Reply};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -48,7 +48,7 @@
 pub struct Board {
     pub ip: Ipv4Addr,
     pub marker: Option<Marker>,
-    disk: Option<Keeping>,
+    disk: Option<PersistentState>,
     servers: Vec<Instance>,
     /// The gatekeepers that its disk names.
     gatekeepers: Vec<String>,
@@ -72,7 +72,7 @@
 
 enum Event {
     PeerMessage(usize, usize, u64, Node, PeerMessage),
-    Written(usize, u32, u64, Keeping),
+    Written(usize, u32, u64, PersistentState),
     ToMarker(usize, usize, u32, u64, ToMarker),
     ToGatekeeper(usize, usize, u32, u64, ToGatekeeper),
 }
@@ -169,9 +169,9 @@
 
 pub fn status(reply: &Reply) -> u16 {
     match reply {
-        Reply::Json(_) | Reply::Document(_) | Reply::Beats(_) => 200,
-        Reply::Elsewhere(_) => 307,
-        Reply::Fault(kind, _) => kind.status(),
+        Reply::Json(_) | Reply::Document(_) | Reply::Heartbeat(_) => 200,
+        Reply::Redirect(_) => 307,
+        Reply::Failure(kind, _) => kind.status(),
     }
 }
 
@@ -429,7 +429,7 @@
         let (me, start) = (marker.me(), self.boards[n].start);
         for output in out {
             match output {
-                Output::Send(to, word) => {
+                Output::SendToMarker(to, word) => {
                     if self.weighs {
                         self.between +=
                             granitelead_control_protocol::frames::encode(&Message::Peer(me, word.clone()))
@@ -442,7 +442,7 @@
                         self.at(1, Event::PeerMessage(n, to, life, me, word));
                     }
                 }
-                Output::Tell(id, word) => {
+                Output::SendToGatekeeper(id, word) => {
                     if self.weighs {
                         self.bytes.0 += granitelead_control_protocol::frames::encode(&Message::ToGatekeeper(
                             word.clone(),
@@ -454,7 +454,7 @@
                         self.at(1, Event::ToGatekeeper(n, g, start, id, word));
                     }
                 }
-                Output::Write(ticket, keeping) => self.at(5, Event::Written(n, start, ticket, keeping)),
+                Output::Persist(ticket, keeping) => self.at(5, Event::Written(n, start, ticket, keeping)),
                 Output::Answer(id, reply) => {
                     let reaches = self.calls.get(&id).is_some_and(|made| !self.is_cut(n, made.by));
                     if let Some(made) = reaches.then(|| self.calls.remove(&id)).flatten() {
@@ -462,13 +462,13 @@
                         self.answers.push((id, n, reply));
                     }
                 }
-                Output::Servers(servers) => {
+                Output::StoreServers(servers) => {
                     if self.keeps_servers {
                         self.boards[n].servers = servers;
                     }
                 }
-                Output::Gatekeepers(names) => self.boards[n].gatekeepers = names,
-                Output::End(_) | Output::Sure(_) => {}
+                Output::StoreGatekeepers(names) => self.boards[n].gatekeepers = names,
+                Output::CloseSession(_) | Output::Committed(_) => {}
             }
         }
     }
@@ -730,7 +730,7 @@
                     self.confirmed.insert(version);
                     continue;
                 }
-                Some(Reply::Elsewhere(ip)) => (true, self.board(ip).unwrap()),
+                Some(Reply::Redirect(ip)) => (true, self.board(ip).unwrap()),
                 Some(reply) => {
                     assert_eq!(status(&reply), 503, "order {version} is refused at {}", self.now);
                     (true, (n + 1) % boards)
--- a/crates/proxy/tests/contact.rs
+++ b/crates/proxy/tests/contact.rs
@@ -6,8 +6,8 @@
 use common::{beat, configuration, play, status, World};
 use googletest::prelude::*;
 use granitelead_control_protocol::messages::InstanceState;
-use marker::parts::Reply;
 use marker::state::Call;
+use marker::types::Reply;
 
 /// Cut off both ways, with a change half held, the one that answered operators: it confirms neither that nor anything else, the
 /// rest goes on, and 2 s after its return it is as they are.
@@ -592,7 +592,7 @@
         let order = &mut self.orders[at];
         order.call = None;
         match (reply, order.put) {
-            (Reply::Elsewhere(ip), _) => {
+            (Reply::Redirect(ip), _) => {
                 let ip = *ip;
                 order.next = now;
                 order.at = self.world.boards.iter().position(|b| b.ip == ip).unwrap();
