--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -1,11 +1,15 @@
-//! Sessions with markers: what they tell is taken in and acknowledged, and what was let in is told to one of them.
+//! Sessions with markers: applies and acknowledges what they send, and reports admitted requests to one of
+//! them.
 //!
-//! A gatekeeper holds sessions with a few markers, so that nothing is missed when one of them goes. One is its home: of
-//! its own zone if there is one. A gatekeeper that hears no marker goes on with what it last knew.
+//! A gatekeeper has sessions with several markers, so that no update is lost when one of them fails. One of
+//! them, preferably in the gatekeeper's own zone, is its attached marker: it counts the requests admitted here and
+//! returns the totals of all gatekeepers. A gatekeeper that doesn't reach any marker continues with its last
+//! known state.
 //!
-//! A marker that is out of contact with most of the core is no home, and gives neither a first configuration nor servers to
-//! use while another may: these are kept aside until it is in contact, or until none has been for [`ALONE`]. Later
-//! configurations are newer by their number, and a server that leaves does so, whoever tells it: they are taken from all.
+//! A marker without a quorum (it can't reach most of the core) doesn't become the attached marker. The initial
+//! configuration and the ready servers that it sends are deferred until it has a quorum, or until no marker
+//! has had one for [`QUORUM_TIMEOUT`]. Later configurations are ordered by version, and the end of a server
+//! is final, so these are accepted from any marker.
 
 use crate::Millis;
 use granitelead_common::recent_use::Known;
@@ -13,411 +17,444 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-/// Sessions at once.
+/// Number of sessions with markers that have a quorum.
 pub const SESSIONS: usize = 3;
-/// And those with markers that are out of contact, beyond them.
-const OUT_OF_CONTACT_MAX: usize = 3;
-/// How long a new session may be with one that is not in contact yet before others are looked for beside it.
-const BEGINS: Millis = 1_000;
-/// When no marker has been in contact for so long, since the start or of those that were, one that is not has to do.
-const ALONE: Millis = 3_000;
-/// A home that says nothing for so long may be cut off: it answers four times as often.
-const TOUCH: Millis = 600;
-/// Adds that are not yet counted are merged beyond so many batches.
-const UNCOUNTED_MAX: usize = 64;
+/// Maximum number of further sessions with markers that have none.
+const WITHOUT_QUORUM_MAX: usize = 3;
+/// How long a new session counts as one with a quorum, before its marker has reported one.
+const NEW_SESSION_GRACE: Millis = 1_000;
+/// If no marker has had a quorum for this long, since the start or since the last one lost it, a marker
+/// without a quorum is accepted.
+const QUORUM_TIMEOUT: Millis = 3_000;
+/// An attached marker that sends nothing for this long may be cut off: it normally answers four times within it.
+const SILENCE_MAX: Millis = 600;
+/// Reports that aren't acknowledged are merged when there are more than this.
+const UNACKNOWLEDGED_MAX: usize = 64;
 
-/// What a word of a marker changes here.
+/// A change to apply, from a marker's message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A configuration to have in force.
+    /// A configuration to put in force.
     Configuration(Document),
-    /// The same, as what differs from the one that is in force.
+    /// The same as a difference from the configuration in force.
     Difference(Difference),
-    /// What has changed of servers.
+    /// Updates of servers.
     Servers(Vec<Instance>),
-    /// All is told that a marker knows.
+    /// The initial transfer of state is complete.
     Whole,
-    /// How many gatekeepers there are, and how many of them are missed.
+    /// The number of gatekeepers, and how many of them are missing.
     Gatekeepers(u32, u32),
-    /// What all gatekeepers that the home hears have let in of late.
+    /// Recent usage of all gatekeepers that the attached marker reaches.
     Recent(Known),
-    /// What all others have let in since this was last told, by tenant.
+    /// Requests that all other gatekeepers have admitted since the previous update, by tenant.
     Others(Vec<(String, u64)>),
 }
 
 #[derive(Default)]
 struct Session {
     zone: Option<String>,
-    /// Whether it is in contact with most of the core, by what it says.
-    contact: bool,
-    /// Whether it was heard since the home said last that it is out of contact: what took that may have taken this one.
-    heard_since: bool,
-    /// The first configuration, kept aside while it is not.
-    first: Option<Document>,
-    /// Servers that are ready by what it says, kept aside likewise: as many as a marker knows at the most.
-    ready: BTreeMap<String, Instance>,
-    opened: Millis,
-    /// Whether it was told that it is not the home any more, as it was silent.
-    left: bool,
-    /// Whether it has told what was let in of late, since it is the home: totals of before are another home's.
-    began: bool,
-    /// What the others had let in by the newest totals, once there were some.
+    /// Whether the marker reports that it has a quorum.
+    has_quorum: bool,
+    /// Whether anything was received from it since the attached marker reported the loss of its quorum: the same
+    /// fault may have cut off this marker too.
+    received_since_loss: bool,
+    /// The initial configuration, deferred while the marker has no quorum.
+    initial: Option<Document>,
+    /// Ready servers reported by the marker, deferred likewise; bounded by the number of servers that a
+    /// marker accepts.
+    deferred_ready: BTreeMap<String, Instance>,
+    opened_at: Millis,
+    /// Whether it was told that it is no longer the attached marker because it was silent.
+    detached: bool,
+    /// Whether it has sent the recent usage since it became the attached marker. Totals before that belong to a
+    /// previous attached marker.
+    sent_recent: bool,
+    /// The others' admitted requests by the latest totals, once received.
     others: Option<BTreeMap<String, u64>>,
-    heard: Millis,
-    /// How many gatekeepers there are by this marker, and how many of them are missed.
-    members: Option<(u32, u32)>,
+    last_received: Millis,
+    /// The number of gatekeepers according to this marker, and how many of them are missing.
+    gatekeepers: Option<(u32, u32)>,
 }
 
-/// All sessions of a gatekeeper.
+/// All sessions of a gatekeeper with markers.
 pub struct Control {
-    life: u64,
+    incarnation: u64,
     name: String,
     zone: String,
     seeds: Vec<Ipv4Addr>,
-    told: BTreeSet<Ipv4Addr>,
+    known_markers: BTreeSet<Ipv4Addr>,
     sessions: BTreeMap<Ipv4Addr, Session>,
-    home: Option<Ipv4Addr>,
-    /// When a marker was in contact last, or this was begun.
-    contact_at: Option<Millis>,
+    attached: Option<Ipv4Addr>,
+    /// When a marker last had a quorum, initially the first time seen.
+    quorum_at: Option<Millis>,
     now: Millis,
-    /// Whether a first configuration was taken, and all that a marker knows.
-    begun: bool,
-    whole: bool,
+    /// Whether an initial configuration, and the complete initial state, were accepted.
+    has_initial: bool,
+    is_complete: bool,
     number: u64,
-    uncounted: Vec<(u64, BTreeMap<String, u64>)>,
-    let_in: BTreeMap<String, u64>,
+    unacknowledged: Vec<(u64, BTreeMap<String, u64>)>,
+    admitted: BTreeMap<String, u64>,
     rng: fastrand::Rng,
 }
 
 impl Control {
-    /// For a process that starts; `seed` draws its life.
+    /// Creates the state of a process that starts; `seed` determines its incarnation.
     pub fn new(name: &str, zone: &str, seeds: Vec<Ipv4Addr>, seed: u64) -> Control {
         let mut rng = fastrand::Rng::with_seed(seed);
         Control {
-            life: rng.u64(1..),
+            incarnation: rng.u64(1..),
             name: name.to_owned(),
             zone: zone.to_owned(),
             seeds,
-            told: BTreeSet::new(),
+            known_markers: BTreeSet::new(),
             sessions: BTreeMap::new(),
-            home: None,
-            contact_at: None,
+            attached: None,
+            quorum_at: None,
             now: 0,
-            begun: false,
-            whole: false,
+            has_initial: false,
+            is_complete: false,
             number: 0,
-            uncounted: Vec::new(),
-            let_in: BTreeMap::new(),
+            unacknowledged: Vec::new(),
+            admitted: BTreeMap::new(),
             rng,
         }
     }
 
-    /// The settings name other seeds.
+    /// Replaces the seed addresses after a change of the settings.
     pub fn reseed(&mut self, seeds: Vec<Ipv4Addr>) {
         self.seeds = seeds;
     }
 
-    /// Whether the home is heard, and so what the others let in.
-    pub fn in_touch(&self, now: Millis) -> bool {
-        let home = self.home.and_then(|ip| self.sessions.get(&ip));
-        home.is_some_and(|s| s.others.is_some() && now < s.heard + TOUCH)
+    /// Whether the attached marker is reachable, and so the usage of the others is known.
+    pub fn in_sync(&self, now: Millis) -> bool {
+        let attached = self.attached.and_then(|ip| self.sessions.get(&ip));
+        attached.is_some_and(|s| s.others.is_some() && now < s.last_received + SILENCE_MAX)
     }
 
-    /// How many gatekeepers there are by the home, and how many of them are missed, where it has told.
-    pub fn members(&self) -> Option<(u32, u32)> {
-        self.home.and_then(|ip| self.sessions.get(&ip)?.members)
+    /// The number of gatekeepers according to the attached marker, and how many of them are missing, if
+    /// reported.
+    pub fn gatekeepers(&self) -> Option<(u32, u32)> {
+        self.attached.and_then(|ip| self.sessions.get(&ip)?.gatekeepers)
     }
 
-    /// The marker that counts what is let in here.
+    /// The marker that counts the requests admitted here.
     pub fn home(&self) -> Option<Ipv4Addr> {
-        self.home
+        self.attached
     }
 
-    /// Which marker to try for a further session, if one is wanted; `busy` are being tried.
+    /// The marker to connect to next, if another session is needed; `busy` are being connected to.
     pub fn wanted(&mut self, busy: &BTreeSet<Ipv4Addr>) -> Option<Ipv4Addr> {
-        // A new one has its time: after a start of all nobody is in contact yet.
-        let counts = |s: &&Session| s.contact || self.now < s.opened + BEGINS;
-        let near = self.sessions.values().filter(counts).count();
+        // A new session gets some time: after a restart of all markers none has a quorum yet.
+        let counts = |s: &&Session| s.has_quorum || self.now < s.opened_at + NEW_SESSION_GRACE;
+        let with_quorum = self.sessions.values().filter(counts).count();
         let all = self.sessions.len() + busy.len();
-        if near + busy.len() >= SESSIONS || all >= SESSIONS + OUT_OF_CONTACT_MAX {
+        if with_quorum + busy.len() >= SESSIONS || all >= SESSIONS + WITHOUT_QUORUM_MAX {
             return None;
         }
         let free = |ip: &&Ipv4Addr| !self.sessions.contains_key(*ip) && !busy.contains(*ip);
-        let told: Vec<Ipv4Addr> = self.told.iter().chain(&self.seeds).filter(free).copied().collect();
-        self.rng.choice(told)
+        let candidates: Vec<Ipv4Addr> =
+            self.known_markers.iter().chain(&self.seeds).filter(free).copied().collect();
+        self.rng.choice(candidates)
     }
 
-    /// A session to be ended, where those that were out of contact have come back and are more than are wanted: the
-    /// newest that is not the home.
+    /// A session to close, if markers have regained their quorum and there are more sessions than needed: the
+    /// newest one that isn't with the attached marker.
     pub fn surplus(&self) -> Option<Ipv4Addr> {
-        let near = || self.sessions.iter().filter(|(_, s)| s.contact);
-        let newest = near().filter(|(ip, _)| self.home != Some(**ip)).max_by_key(|(ip, s)| (s.opened, **ip));
-        newest.filter(|_| near().count() > SESSIONS).map(|(ip, _)| *ip)
+        let with_quorum = || self.sessions.iter().filter(|(_, s)| s.has_quorum);
+        let newest = with_quorum()
+            .filter(|(ip, _)| self.attached != Some(**ip))
+            .max_by_key(|(ip, s)| (s.opened_at, **ip));
+        newest.filter(|_| with_quorum().count() > SESSIONS).map(|(ip, _)| *ip)
     }
 
-    /// A session is up. Gives what to say first.
+    /// Registers a new session. Returns the first message to send.
     pub fn open(&mut self, now: Millis, ip: Ipv4Addr, has: Option<Revision>, servers: Vec<Instance>) -> Up {
-        self.pass(now);
-        self.sessions.insert(ip, Session { opened: now, heard: now, ..Session::default() });
-        Up::Hello { life: self.life, name: self.name.clone(), has, servers }
+        self.advance(now);
+        self.sessions.insert(ip, Session { opened_at: now, last_received: now, ..Session::default() });
+        Up::Hello { life: self.incarnation, name: self.name.clone(), has, servers }
     }
 
-    /// A session has ended.
+    /// Removes a session. Returns the messages to send.
     pub fn close(&mut self, ip: Ipv4Addr) -> Vec<(Ipv4Addr, Up)> {
         self.sessions.remove(&ip);
-        if self.home == Some(ip) {
-            self.home = None;
+        if self.attached == Some(ip) {
+            self.attached = None;
         }
-        self.find_home()
+        self.select_attached()
     }
 
-    /// Time passes. Gives what to say of a home that is due now.
+    /// Runs the periodic work. Returns messages about a change of the attached marker.
     pub fn look(&mut self, now: Millis) -> Vec<(Ipv4Addr, Up)> {
-        self.pass(now);
-        let mut say = self.leave_silent_home();
-        say.extend(self.find_home());
-        say
+        self.advance(now);
+        let mut messages = self.detach_if_silent();
+        messages.extend(self.select_attached());
+        messages
     }
 
-    /// A home that is silent may still hear: it is told that what is let in from now on is not told to it.
-    fn leave_silent_home(&mut self) -> Vec<(Ipv4Addr, Up)> {
+    /// A silent attached marker may still receive messages: it is told that further requests won't be reported to
+    /// it.
+    fn detach_if_silent(&mut self) -> Vec<(Ipv4Addr, Up)> {
         let now = self.now;
-        let home = self.home.and_then(|ip| Some((ip, self.sessions.get_mut(&ip)?)));
-        let silent = home.filter(|(_, s)| !s.left && s.others.is_some() && now >= s.heard + TOUCH);
+        let attached = self.attached.and_then(|ip| Some((ip, self.sessions.get_mut(&ip)?)));
+        let silent = attached
+            .filter(|(_, s)| !s.detached && s.others.is_some() && now >= s.last_received + SILENCE_MAX);
         let Some((ip, session)) = silent else { return Vec::new() };
-        (session.left, session.began, session.others) = (true, false, None);
+        (session.detached, session.sent_recent, session.others) = (true, false, None);
         vec![(ip, Up::Home(false))]
     }
 
-    /// A home that was silent is heard again.
-    fn return_to_home(&mut self, ip: Ipv4Addr) -> Vec<(Ipv4Addr, Up)> {
-        let session = self.sessions.get_mut(&ip).filter(|_| self.home == Some(ip));
-        match session.map(|s| std::mem::take(&mut s.left)) {
+    /// Reinstates an attached marker that was silent and sends again.
+    fn reattach(&mut self, ip: Ipv4Addr) -> Vec<(Ipv4Addr, Up)> {
+        let session = self.sessions.get_mut(&ip).filter(|_| self.attached == Some(ip));
+        match session.map(|s| std::mem::take(&mut s.detached)) {
             Some(true) => vec![(ip, Up::Home(true))],
             _ => Vec::new(),
         }
     }
 
-    fn pass(&mut self, now: Millis) {
+    fn advance(&mut self, now: Millis) {
         self.now = self.now.max(now);
-        let contact = self.sessions.values().any(|s| s.contact && self.now < s.heard + TOUCH);
-        if contact || self.contact_at.is_none() {
-            self.contact_at = Some(self.now);
+        let has_quorum =
+            self.sessions.values().any(|s| s.has_quorum && self.now < s.last_received + SILENCE_MAX);
+        if has_quorum || self.quorum_at.is_none() {
+            self.quorum_at = Some(self.now);
         }
     }
 
-    /// Whether no marker has been in contact for so long that one which is not has to do.
-    fn is_alone(&self) -> bool {
-        self.contact_at.is_some_and(|at| self.now >= at + ALONE)
+    /// Whether no marker has had a quorum for so long that one without is accepted.
+    fn is_without_quorum(&self) -> bool {
+        self.quorum_at.is_some_and(|at| self.now >= at + QUORUM_TIMEOUT)
     }
 
-    /// What was kept aside and is due now: the newest first configuration, servers, then that all is told.
+    /// The next deferred change that is due: the newest initial configuration, then servers, then the
+    /// completion of the initial transfer.
     pub fn due(&mut self) -> Option<(Ipv4Addr, Change)> {
-        let alone = self.is_alone();
-        let good = |s: &Session| s.contact || alone;
-        let first = self.sessions.iter().filter(|(_, s)| good(s) && !self.begun);
-        let version = |s: &Session| s.first.as_ref().map(|d| d.version);
+        let accepts_any = self.is_without_quorum();
+        let is_eligible = |s: &Session| s.has_quorum || accepts_any;
+        let first = self.sessions.iter().filter(|(_, s)| is_eligible(s) && !self.has_initial);
+        let version = |s: &Session| s.initial.as_ref().map(|d| d.version);
         let first =
-            first.filter(|(_, s)| s.first.is_some()).max_by_key(|(_, s)| version(s)).map(|(ip, _)| *ip);
+            first.filter(|(_, s)| s.initial.is_some()).max_by_key(|(_, s)| version(s)).map(|(ip, _)| *ip);
         if let Some(ip) = first {
-            let document = self.sessions.get_mut(&ip).and_then(|s| s.first.take())?;
-            self.begun = true;
-            self.sessions.values_mut().for_each(|s| s.first = None);
+            let document = self.sessions.get_mut(&ip).and_then(|s| s.initial.take())?;
+            self.has_initial = true;
+            self.sessions.values_mut().for_each(|s| s.initial = None);
             return Some((ip, Change::Configuration(document)));
         }
-        if let Some((ip, session)) = self.sessions.iter_mut().find(|(_, s)| good(s) && !s.ready.is_empty()) {
-            let servers = std::mem::take(&mut session.ready).into_values().collect();
+        if let Some((ip, session)) =
+            self.sessions.iter_mut().find(|(_, s)| is_eligible(s) && !s.deferred_ready.is_empty())
+        {
+            let servers = std::mem::take(&mut session.deferred_ready).into_values().collect();
             return Some((*ip, Change::Servers(servers)));
         }
-        let told = self.sessions.iter().find(|(_, s)| good(s) && s.zone.is_some() && !self.whole);
-        let ip = told.map(|(ip, _)| *ip)?;
-        self.whole = true;
+        let complete =
+            self.sessions.iter().find(|(_, s)| is_eligible(s) && s.zone.is_some() && !self.is_complete);
+        let ip = complete.map(|(ip, _)| *ip)?;
+        self.is_complete = true;
         Some((ip, Change::Whole))
     }
 
-    /// The home is a marker of this zone that has told all, else whichever has for longest. One that is out of contact
-    /// stays it only while no other is in contact, and becomes it only if none has been for [`ALONE`].
-    fn find_home(&mut self) -> Vec<(Ipv4Addr, Up)> {
-        let near = |s: &Session| s.zone.as_ref() == Some(&self.zone);
-        let good = |s: &Session| s.contact && s.heard_since;
-        let may = |ip: &Ipv4Addr, s: &Session| good(s) || self.home == Some(*ip) || self.is_alone();
-        let told = self.sessions.iter().filter(|(ip, s)| s.zone.is_some() && may(ip, s));
-        let best = told
-            .min_by_key(|(ip, s)| (!good(s), !near(s), self.home != Some(**ip), s.opened, **ip))
+    /// Selects the attached marker: a marker of this zone that has completed its initial transfer, else the one
+    /// with the oldest session. A marker without a quorum keeps the role only while no other has a quorum,
+    /// and gets it only if none has had one for [`QUORUM_TIMEOUT`].
+    fn select_attached(&mut self) -> Vec<(Ipv4Addr, Up)> {
+        let is_local = |s: &Session| s.zone.as_ref() == Some(&self.zone);
+        let is_eligible = |s: &Session| s.has_quorum && s.received_since_loss;
+        let may = |ip: &Ipv4Addr, s: &Session| {
+            is_eligible(s) || self.attached == Some(*ip) || self.is_without_quorum()
+        };
+        let complete = self.sessions.iter().filter(|(ip, s)| s.zone.is_some() && may(ip, s));
+        let best = complete
+            .min_by_key(|(ip, s)| {
+                (!is_eligible(s), !is_local(s), self.attached != Some(**ip), s.opened_at, **ip)
+            })
             .map(|(ip, _)| *ip);
-        if best == self.home {
+        if best == self.attached {
             return Vec::new();
         }
-        let mut say: Vec<(Ipv4Addr, Up)> = self.home.into_iter().map(|ip| (ip, Up::Home(false))).collect();
-        self.home = best;
+        let mut messages: Vec<(Ipv4Addr, Up)> =
+            self.attached.into_iter().map(|ip| (ip, Up::Home(false))).collect();
+        self.attached = best;
         if let Some(session) = best.and_then(|ip| self.sessions.get_mut(&ip)) {
-            (session.others, session.left, session.began) = (None, false, false);
+            (session.others, session.detached, session.sent_recent) = (None, false, false);
         }
         if let Some(ip) = best {
-            say.push((ip, Up::Home(true)));
-            // What the former home may not have counted is told again: rather twice than never.
-            let again = std::mem::take(&mut self.uncounted).into_iter().flat_map(|(_, adds)| adds);
-            for (tenant, n) in again {
-                *self.let_in.entry(tenant).or_default() += n;
+            messages.push((ip, Up::Home(true)));
+            // Reports that the previous attached marker may not have counted are sent again: counting twice is
+            // preferred to losing them.
+            let resent = std::mem::take(&mut self.unacknowledged).into_iter().flat_map(|(_, adds)| adds);
+            for (tenant, n) in resent {
+                *self.admitted.entry(tenant).or_default() += n;
             }
         }
-        say
+        messages
     }
 
-    /// The same for all markers.
-    pub fn tell_all(&self, word: &Up) -> Vec<(Ipv4Addr, Up)> {
-        self.sessions.keys().map(|ip| (*ip, word.clone())).collect()
+    /// Addresses a message to all markers.
+    pub fn tell_all(&self, message: &Up) -> Vec<(Ipv4Addr, Up)> {
+        self.sessions.keys().map(|ip| (*ip, message.clone())).collect()
     }
 
-    /// Keeps aside the servers that are ready by a marker that is out of contact. Gives the others.
-    fn keep_aside(&mut self, ip: Ipv4Addr, servers: Vec<Instance>) -> Vec<Instance> {
-        let alone = self.is_alone();
+    /// Defers the ready servers reported by a marker without a quorum. Returns the other updates.
+    fn defer_ready(&mut self, ip: Ipv4Addr, servers: Vec<Instance>) -> Vec<Instance> {
+        let accepts_any = self.is_without_quorum();
         let Some(session) = self.sessions.get_mut(&ip) else { return servers };
-        // What it says now is newer than what it said before.
-        servers.iter().for_each(|server| drop(session.ready.remove(&server.id)));
-        if session.contact || alone {
+        // The new report replaces deferred ones.
+        servers.iter().for_each(|server| drop(session.deferred_ready.remove(&server.id)));
+        if session.has_quorum || accepts_any {
             return servers;
         }
-        let (ready, leave): (Vec<_>, Vec<_>) = servers.into_iter().partition(|s| s.state == State::Ready);
-        session.ready.extend(ready.into_iter().map(|server| (server.id.clone(), server)));
-        leave
+        let (ready, others): (Vec<_>, Vec<_>) = servers.into_iter().partition(|s| s.state == State::Ready);
+        session.deferred_ready.extend(ready.into_iter().map(|server| (server.id.clone(), server)));
+        others
     }
 
-    /// A marker says something. Gives what it changes, and what to say.
-    pub fn take(&mut self, now: Millis, ip: Ipv4Addr, word: Down) -> (Option<Change>, Vec<(Ipv4Addr, Up)>) {
+    /// Handles a message from a marker. Returns the change to apply and the messages to send.
+    pub fn take(
+        &mut self,
+        now: Millis,
+        ip: Ipv4Addr,
+        message: Down,
+    ) -> (Option<Change>, Vec<(Ipv4Addr, Up)>) {
         if let Some(session) = self.sessions.get_mut(&ip) {
-            (session.heard, session.heard_since) = (now, true);
+            (session.last_received, session.received_since_loss) = (now, true);
         }
-        self.pass(now);
-        let back = self.return_to_home(ip);
-        let (change, mut say) = self.take_word(now, ip, word);
-        say.extend(back);
-        (change, say)
+        self.advance(now);
+        let back = self.reattach(ip);
+        let (change, mut messages) = self.handle(now, ip, message);
+        messages.extend(back);
+        (change, messages)
     }
 
-    fn take_word(&mut self, now: Millis, ip: Ipv4Addr, word: Down) -> (Option<Change>, Vec<(Ipv4Addr, Up)>) {
-        match word {
+    fn handle(&mut self, now: Millis, ip: Ipv4Addr, message: Down) -> (Option<Change>, Vec<(Ipv4Addr, Up)>) {
+        match message {
             Down::Pong => (None, Vec::new()),
             Down::News(number, news) => {
-                let mut say = vec![(ip, Up::Got(number))];
+                let mut messages = vec![(ip, Up::Got(number))];
                 let change = match news {
-                    News::Configuration(document) if self.begun => Some(Change::Configuration(document)),
+                    News::Configuration(document) if self.has_initial => {
+                        Some(Change::Configuration(document))
+                    }
                     News::Configuration(document) => {
                         if let Some(session) = self.sessions.get_mut(&ip) {
-                            session.first = Some(document);
+                            session.initial = Some(document);
                         }
                         None
                     }
-                    News::Change(difference) if self.begun => Some(Change::Difference(difference)),
+                    News::Change(difference) if self.has_initial => Some(Change::Difference(difference)),
                     News::Change(difference) => {
-                        // Of what was kept aside, if it was told from that.
+                        // The difference applies to the deferred configuration if that is its base.
                         let session = self.sessions.get_mut(&ip);
-                        let first = session.and_then(|s| s.first.as_mut());
+                        let first = session.and_then(|s| s.initial.as_mut());
                         match first.and_then(|d| difference.apply(d).ok().map(|next| (d, next))) {
                             Some((first, next)) => *first = next,
-                            None => say.push((ip, Up::Lacks(None))),
+                            None => messages.push((ip, Up::Lacks(None))),
                         }
                         None
                     }
-                    News::Contact(contact) => {
-                        if self.home == Some(ip) && !contact {
-                            self.sessions.values_mut().for_each(|s| s.heard_since = false);
+                    News::Contact(has_quorum) => {
+                        if self.attached == Some(ip) && !has_quorum {
+                            self.sessions.values_mut().for_each(|s| s.received_since_loss = false);
                         }
                         if let Some(session) = self.sessions.get_mut(&ip) {
-                            session.contact = contact;
+                            session.has_quorum = has_quorum;
                         }
-                        self.pass(now);
-                        say.extend(self.find_home());
+                        self.advance(now);
+                        messages.extend(self.select_attached());
                         None
                     }
                     News::Servers(servers) => {
-                        let servers = self.keep_aside(ip, servers);
+                        let servers = self.defer_ready(ip, servers);
                         (!servers.is_empty()).then_some(Change::Servers(servers))
                     }
                     News::Markers(markers) => {
-                        // One that is out of contact names whom it hears still: too few.
-                        let contact = |s: &Session| s.contact;
-                        if !self.sessions.values().any(contact) || self.sessions.get(&ip).is_some_and(contact)
+                        // A marker without a quorum lists only the markers that it still reaches.
+                        let has_quorum = |s: &Session| s.has_quorum;
+                        if !self.sessions.values().any(has_quorum)
+                            || self.sessions.get(&ip).is_some_and(has_quorum)
                         {
-                            self.told = markers.into_iter().collect();
+                            self.known_markers = markers.into_iter().collect();
                         }
                         None
                     }
                     News::Gatekeepers(n, missed) => {
                         if let Some(session) = self.sessions.get_mut(&ip) {
-                            session.members = Some((n, missed));
+                            session.gatekeepers = Some((n, missed));
                         }
-                        // Where markers are cut apart each counts the others' gatekeepers as missed.
-                        (self.home == Some(ip)).then_some(Change::Gatekeepers(n, missed))
+                        // In a partition of the markers each side counts the other's gatekeepers as
+                        // missing.
+                        (self.attached == Some(ip)).then_some(Change::Gatekeepers(n, missed))
                     }
                     News::Whole(zone) => {
                         if let Some(session) = self.sessions.get_mut(&ip) {
                             session.zone = Some(zone);
                         }
-                        say.extend(self.find_home());
+                        messages.extend(self.select_attached());
                         None
                     }
                 };
-                (change, say)
+                (change, messages)
             }
             Down::Recent(recent) => {
-                let is_home = self.home == Some(ip);
+                let is_attached = self.attached == Some(ip);
                 if let Some(session) = self.sessions.get_mut(&ip) {
-                    session.began = is_home && !session.left;
+                    session.sent_recent = is_attached && !session.detached;
                 }
-                (is_home.then_some(Change::Recent(recent)), Vec::new())
+                (is_attached.then_some(Change::Recent(recent)), Vec::new())
             }
             Down::Totals(counted, totals) => {
-                let home = self.sessions.get_mut(&ip).filter(|s| self.home == Some(ip) && s.began);
-                let Some(session) = home else { return (None, Vec::new()) };
-                self.uncounted.retain(|(number, _)| *number > counted);
+                let attached =
+                    self.sessions.get_mut(&ip).filter(|s| self.attached == Some(ip) && s.sent_recent);
+                let Some(session) = attached else { return (None, Vec::new()) };
+                self.unacknowledged.retain(|(number, _)| *number > counted);
                 let first = session.others.is_none();
                 let known = session.others.get_or_insert_with(BTreeMap::new);
-                let mut news = Vec::new();
+                let mut increments = Vec::new();
                 for (tenant, total, own) in totals {
                     let others = total.saturating_sub(own);
                     let before = known.insert(tenant.clone(), others).unwrap_or(0);
-                    // The first totals hold all since the marker's start: only what comes after tells of now.
+                    // The first totals include everything since the marker's start; only later increments are
+                    // recent usage.
                     if !first && others > before {
-                        news.push((tenant, others - before));
+                        increments.push((tenant, others - before));
                     }
                 }
-                (Some(Change::Others(news)), Vec::new())
+                (Some(Change::Others(increments)), Vec::new())
             }
         }
     }
 
-    /// A request of a tenant is let in.
+    /// Counts an admitted request of a tenant.
     pub fn add(&mut self, tenant: &str) {
-        if let Some(n) = self.let_in.get_mut(tenant) {
+        if let Some(n) = self.admitted.get_mut(tenant) {
             *n += 1;
         } else {
-            self.let_in.insert(tenant.to_owned(), 1);
+            self.admitted.insert(tenant.to_owned(), 1);
         }
     }
 
-    /// What to tell the home of what was let in since the last time.
+    /// The report of requests admitted since the previous report, addressed to the attached marker.
     pub fn batch(&mut self, now: Millis) -> Option<(Ipv4Addr, Up)> {
-        if !self.in_touch(now) {
-            // It was let in from the part that the others leave to whoever they miss.
-            self.let_in.clear();
-            self.uncounted.clear();
+        if !self.in_sync(now) {
+            // They were admitted from the share that the others leave to missing gatekeepers.
+            self.admitted.clear();
+            self.unacknowledged.clear();
             return None;
         }
-        let home = self.home?;
-        if self.let_in.is_empty() {
+        let attached = self.attached?;
+        if self.admitted.is_empty() {
             return None;
         }
-        let adds = std::mem::take(&mut self.let_in);
+        let adds = std::mem::take(&mut self.admitted);
         self.number += 1;
         let up = Up::Adds(self.number, adds.iter().map(|(tenant, n)| (tenant.clone(), *n)).collect());
-        if self.uncounted.len() >= UNCOUNTED_MAX {
-            if let Some((_, oldest)) = self.uncounted.first_mut() {
+        if self.unacknowledged.len() >= UNACKNOWLEDGED_MAX {
+            if let Some((_, oldest)) = self.unacknowledged.first_mut() {
                 adds.into_iter().for_each(|(tenant, n)| *oldest.entry(tenant).or_default() += n);
             }
         } else {
-            self.uncounted.push((self.number, adds));
+            self.unacknowledged.push((self.number, adds));
         }
-        Some((home, up))
+        Some((attached, up))
     }
 }
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -1,4 +1,5 @@
-//! What a gatekeeper holds, as one state machine: requests are routed, their keys checked, their tenants counted.
+//! The state of a gatekeeper as one state machine: it routes requests, checks their API keys and applies
+//! tenant quotas.
 
 use crate::budget::Budget;
 use crate::control::{Change, Control};
@@ -18,40 +19,40 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time that is kept of a request's for its answer to reach the client.
-const MARGIN: Millis = 5;
+/// Part of a request's timeout that is reserved for its answer to reach the client.
+const ANSWER_MARGIN: Millis = 5;
 
-/// What a request is allowed.
+/// What an admitted request needs to be forwarded.
 #[derive(Clone, Debug)]
 pub struct Pass {
-    /// The configuration that it is handled by, to its end.
+    /// The configuration that applies to the request until its end.
     pub configuration: Rc<Configuration>,
-    /// Its service.
+    /// The service.
     pub service: String,
-    /// Its tenant's name.
+    /// The tenant's name.
     pub tenant: Option<String>,
-    /// Its rank.
+    /// The priority; 0 is the highest.
     pub priority: u32,
-    /// Until when the system may take.
+    /// When the request must be answered.
     pub deadline: Millis,
-    /// Its route: host and place.
+    /// The route: host and index.
     host: String,
-    place: usize,
+    rule_index: usize,
 }
 
 impl Pass {
-    /// Its route.
+    /// The route of the request.
     pub fn route(&self) -> &Route {
-        &self.configuration.hosts[&self.host][self.place]
+        &self.configuration.hosts[&self.host][self.rule_index]
     }
 }
 
-/// Why a request is not let in.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// What it is answered with.
+    /// The error with which it is answered.
     pub kind: Kind,
-    /// When it would be let in, where that is known.
+    /// The time until it would be admitted, ms, if known.
     pub wait: Option<Millis>,
 }
 
@@ -61,33 +62,33 @@
     }
 }
 
-/// What a gatekeeper holds.
+/// The state of a gatekeeper.
 pub struct Gate {
     /// The configuration in force.
     pub configuration: Option<Rc<Configuration>>,
-    /// Its bytes, of which the next one may be a difference.
+    /// Its document, the base of incremental changes.
     document: Option<Document>,
     /// The servers.
     pub servers: Servers,
-    /// The tenants.
+    /// The tenants and their quotas.
     pub tenants: Tenants,
-    /// Which of its services each route goes to next.
+    /// Traffic splits: selects the service of a route for each request.
     splits: Splits,
-    /// How much each service may have under way from here.
+    /// The limit on concurrent requests to each service from this gatekeeper.
     pub room: Room,
-    /// Further tries.
+    /// The retry budget.
     pub budget: Budget,
     /// The sessions with markers.
     pub control: Control,
-    /// Whether a marker has told all that it knows.
-    pub whole: bool,
-    /// How the process ends, once it has been told to.
+    /// Whether the initial transfer of state from a marker is complete.
+    pub is_complete: bool,
+    /// The shutdown schedule, once the process has been told to end.
     pub drain: Option<Drain>,
     rng: fastrand::Rng,
 }
 
 impl Gate {
-    /// One that knows nothing yet.
+    /// Creates the state of a gatekeeper that hasn't received anything.
     pub fn new(control: Control, zone: &str, bounds: &Bounds, seed: u64) -> Gate {
         let window = bounds.retry_window.as_millis() as Millis;
         Gate {
@@ -99,83 +100,93 @@
             room: Room::default(),
             budget: Budget::new(bounds.retry_ratio, bounds.retry_slack, window),
             control,
-            whole: false,
+            is_complete: false,
             drain: None,
             rng: fastrand::Rng::with_seed(seed ^ 1),
         }
     }
 
-    /// Whether clients may come: it has a configuration and the servers, and stays.
+    /// Whether the gatekeeper accepts clients: it has a configuration and the servers, and isn't shutting
+    /// down.
     pub fn is_ready(&self) -> bool {
-        self.whole && self.configuration.is_some() && self.drain.is_none()
+        self.is_complete && self.configuration.is_some() && self.drain.is_none()
     }
 
-    /// What tells the configuration in force from all others.
+    /// The revision that identifies the configuration in force.
     pub fn revision(&self) -> Option<Revision> {
         self.document.as_ref().map(Document::revision)
     }
 
-    /// What a marker told changes. Gives what to say to markers.
+    /// Applies a change that a marker sent. Returns the messages to send to markers.
     pub fn take(&mut self, now: Millis, from: Ipv4Addr, change: Change) -> Vec<(Ipv4Addr, Up)> {
         match change {
             Change::Configuration(document) => return self.put_in_force(from, document),
             Change::Difference(difference) => {
-                if let Some(has) = self.has(difference.to.version) {
+                if let Some(has) = self.revision_from(difference.to.version) {
                     return vec![(from, Up::Has(has))];
                 }
                 match self.document.as_ref().map(|document| difference.apply(document)) {
                     Some(Ok(document)) => return self.put_in_force(from, document),
-                    Some(Err(fault)) => log::info!("a change from {from}, which is wanted whole: {fault}"),
-                    None => log::info!("a change from {from} where nothing is in force"),
+                    Some(Err(fault)) => log::info!(
+                        "can't apply the configuration difference from {from}, requesting the whole: {fault}"
+                    ),
+                    None => {
+                        log::info!("configuration difference from {from}, but no configuration is in force")
+                    }
                 }
                 return vec![(from, Up::Lacks(self.revision()))];
             }
-            Change::Servers(told) => self.servers.take(now, told),
-            Change::Whole => self.whole = true,
+            Change::Servers(updates) => self.servers.take(now, updates),
+            Change::Whole => self.is_complete = true,
             Change::Gatekeepers(n, missed) => {
-                self.budget.share(n);
-                self.tenants.share(now, n, missed);
+                self.budget.set_gatekeepers(n);
+                self.tenants.set_gatekeepers(now, n, missed);
             }
-            Change::Recent(recent) => self.tenants.begin_from(now, &recent),
-            Change::Others(news) => self.tenants.hear(now, &news),
+            Change::Recent(recent) => self.tenants.replace_recent_use(now, &recent),
+            Change::Others(increments) => self.tenants.add_others_use(now, &increments),
         }
         Vec::new()
     }
 
-    /// What is in force, where it is not older than this.
-    fn has(&self, version: u32) -> Option<Revision> {
+    /// The revision in force, unless it is older than `version`.
+    fn revision_from(&self, version: u32) -> Option<Revision> {
         self.document.as_ref().filter(|held| held.version >= version).map(Document::revision)
     }
 
-    /// A configuration, checked whole, unless a newer one is in force: all markers are told, so that none tells it again.
+    /// Validates a configuration and puts it in force, unless a newer one is. Tells all markers, so that none
+    /// sends it again.
     fn put_in_force(&mut self, from: Ipv4Addr, document: Document) -> Vec<(Ipv4Addr, Up)> {
-        if let Some(has) = self.has(document.version) {
+        if let Some(has) = self.revision_from(document.version) {
             return vec![(from, Up::Has(has))];
         }
         match configuration::parse(&document.bytes) {
-            Ok(read) if read.version != document.version => {
-                log::error!("version {:08x} was told as {:08x}", read.version, document.version);
+            Ok(parsed) if parsed.version != document.version => {
+                log::error!(
+                    "configuration {:08x} was announced as version {:08x}",
+                    parsed.version,
+                    document.version
+                );
                 Vec::new()
             }
-            Ok(read) => {
-                self.configuration = Some(Rc::new(read));
+            Ok(parsed) => {
+                self.configuration = Some(Rc::new(parsed));
                 let has = Up::Has(document.revision());
                 self.document = Some(document);
                 self.control.tell_all(&has)
             }
             Err(faults) => {
-                // Markers check the same way before they take one in.
-                log::error!("a configuration that can't be used: {faults}");
+                // Markers apply the same validation before they accept a configuration.
+                log::error!("invalid configuration: {faults}");
                 Vec::new()
             }
         }
     }
 
-    /// Routes a request, checks its key, and counts it for its tenant.
+    /// Routes a request, checks its API key, and counts it for its tenant.
     ///
     /// # Errors
     ///
-    /// What it is answered with instead.
+    /// The refusal with which the request is answered.
     pub fn admit(
         &mut self,
         now: Millis,
@@ -198,23 +209,28 @@
         } else {
             None
         };
-        let id = headers.get(names::ATTEMPT).is_some_and(|id| !id.is_empty());
-        if !id {
+        let has_attempt_id = headers.get(names::ATTEMPT).is_some_and(|id| !id.is_empty());
+        if !has_attempt_id {
             return Err(Kind::Malformed.into());
         }
-        let told = headers.get(names::DEADLINE).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
-        let time = told.map_or(route.timeout, Duration::from_millis).min(route.timeout);
+        let requested =
+            headers.get(names::DEADLINE).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
+        let time = requested.map_or(route.timeout, Duration::from_millis).min(route.timeout);
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
-        let place = configuration.hosts[&host].iter().position(|r| r.prefix == route.prefix).unwrap_or(0);
-        let dice = self.rng.f64();
-        let service = self.splits.next(configuration.version, &host, place, route, dice);
-        let service = service.and_then(|place| configuration.services.get(place));
+        let rule_index =
+            configuration.hosts[&host].iter().position(|r| r.prefix == route.prefix).unwrap_or(0);
+        let initial_position = self.rng.f64();
+        let service = self.splits.next(configuration.version, &host, rule_index, route, initial_position);
+        let service = service.and_then(|index| configuration.services.get(index));
         let service = service.map(|service| service.name.clone()).ok_or(Refusal::from(Kind::NoRoom))?;
-        let mut deadline = now + (time.as_millis() as Millis).saturating_sub(MARGIN);
+        let mut deadline = now + (time.as_millis() as Millis).saturating_sub(ANSWER_MARGIN);
         if let Some(drain) = &self.drain {
-            let aim = route.target.as_millis() as Millis;
-            let usual = self.servers.typical(&service, aim).map_or(aim, |usual| usual as Millis);
-            deadline = drain.deadline(now, deadline, usual).ok_or(Refusal::from(Kind::NoRoom))?;
+            let target_latency = route.target.as_millis() as Millis;
+            let usual_latency = self
+                .servers
+                .typical(&service, target_latency)
+                .map_or(target_latency, |usual_latency| usual_latency as Millis);
+            deadline = drain.deadline(now, deadline, usual_latency).ok_or(Refusal::from(Kind::NoRoom))?;
         }
         let pass = Pass {
             service,
@@ -222,11 +238,11 @@
             priority: tenant.and_then(|t| t.priority).unwrap_or(route.priority),
             deadline,
             host,
-            place,
+            rule_index,
             configuration: configuration.clone(),
         };
         if let Some(tenant) = tenant {
-            if let Some(wait) = self.tenants.beyond(now, tenant) {
+            if let Some(wait) = self.tenants.rate_limit(now, tenant) {
                 return Err(Refusal { kind: Kind::Quota, wait: Some(wait) });
             }
             self.control.add(&tenant.name);
@@ -234,40 +250,41 @@
         Ok(pass)
     }
 
-    /// A marker says something. Gives what to say, and to whom.
-    pub fn on_down(&mut self, now: Millis, ip: Ipv4Addr, word: Down) -> Vec<(Ipv4Addr, Up)> {
-        let (change, mut say) = self.control.take(now, ip, word);
+    /// Handles a message from a marker. Returns the messages to send, with their recipients.
+    pub fn on_message(&mut self, now: Millis, ip: Ipv4Addr, message: Down) -> Vec<(Ipv4Addr, Up)> {
+        let (change, mut messages) = self.control.take(now, ip, message);
         if let Some(change) = change {
-            say.extend(self.take(now, ip, change));
+            messages.extend(self.take(now, ip, change));
         }
-        self.take_due(now, &mut say);
-        say
+        self.apply_deferred(now, &mut messages);
+        messages
     }
 
-    /// Takes in what markers told before it was to be taken.
-    fn take_due(&mut self, now: Millis, say: &mut Vec<(Ipv4Addr, Up)>) {
+    /// Applies the changes that were deferred and are due now.
+    fn apply_deferred(&mut self, now: Millis, messages: &mut Vec<(Ipv4Addr, Up)>) {
         while let Some((ip, change)) = self.control.due() {
-            say.extend(self.take(now, ip, change));
+            messages.extend(self.take(now, ip, change));
         }
     }
 
-    /// What is to be told of what was let in; and whether what the others let in is known.
-    pub fn on_batch(&mut self, now: Millis) -> Vec<(Ipv4Addr, Up)> {
-        let mut say = self.control.look(now);
-        self.take_due(now, &mut say);
-        if let Some((all, missed)) = self.control.members() {
-            self.budget.share(all);
-            self.tenants.share(now, all, missed);
+    /// Runs the periodic work: updates the sessions' state and whether this gatekeeper is in sync. Returns
+    /// the messages to send, among them the report of admitted requests.
+    pub fn on_tick(&mut self, now: Millis) -> Vec<(Ipv4Addr, Up)> {
+        let mut messages = self.control.look(now);
+        self.apply_deferred(now, &mut messages);
+        if let Some((all, missed)) = self.control.gatekeepers() {
+            self.budget.set_gatekeepers(all);
+            self.tenants.set_gatekeepers(now, all, missed);
         }
-        self.tenants.touch(now, self.control.in_touch(now));
-        say.extend(self.control.batch(now));
-        say
+        self.tenants.set_in_sync(now, self.control.in_sync(now));
+        messages.extend(self.control.batch(now));
+        messages
     }
 
-    /// When to come back after a refusal, ms: after what is known to be needed, or a part of the aim; drawn, so that
-    /// nothing returns in step.
-    pub fn come_back(&mut self, aim: Millis, wait: Option<Millis>) -> Millis {
-        let least = wait.unwrap_or((aim / 8).clamp(5, 250));
-        least + self.rng.u64(0..=(aim / 4).clamp(10, 500))
+    /// The retry delay after a refusal, ms: the time that is known to be needed, or else a part of the target
+    /// latency; with random jitter, so that clients don't come back at the same time.
+    pub fn come_back(&mut self, target_latency: Millis, wait: Option<Millis>) -> Millis {
+        let min_delay = wait.unwrap_or((target_latency / 8).clamp(5, 250));
+        min_delay + self.rng.u64(0..=(target_latency / 4).clamp(10, 500))
     }
 }
--- a/crates/proxy/src/request_state.rs
+++ b/crates/proxy/src/request_state.rs
@@ -1,7 +1,8 @@
-//! The state of one request: to which servers it goes, and what its one final answer is.
+//! The state of one request: which servers it is sent to, and its single final answer.
 //!
-//! A request that may run once goes on to another server only where it is certain that it has not run. Each ends once,
-//! at once, and 429 and 503 are only said of what has not run and never will.
+//! A request that may be executed only once is retried at another server only if it certainly wasn't
+//! executed. Each request is answered exactly once, as soon as its outcome is known; 429 and 503 are only
+//! returned for requests that weren't and won't be executed.
 
 use crate::servers::Sign;
 use crate::Millis;
@@ -9,68 +10,68 @@
 use granitelead_common::kinds::Kind;
 use std::rc::Rc;
 
-/// Time that must be left of a request's for another try to be worth it, in parts of a usual answer.
-const WORTH: f64 = 0.5;
-/// Part of the aim that a request may wait for a server.
-const HOLD: f64 = 0.2;
-/// Part of the time that is left in which a repeatable request's server must have answered, before another is asked
-/// beside it.
-const PATIENCE: f64 = 0.6;
+/// Minimum time before the deadline for another attempt, as a fraction of the usual latency.
+const RETRY_TIME_FRACTION: f64 = 0.5;
+/// Fraction of the target latency that a request may wait for a server with free capacity.
+const QUEUE_FRACTION: f64 = 0.2;
+/// Fraction of the remaining time after which a hedged request is sent to another server, if the request is
+/// repeatable.
+const HEDGE_FRACTION: f64 = 0.6;
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer of the server that was meant, to this request; with its status.
+    /// A complete answer from the intended server, with its status.
     Answer(u16),
-    /// The server says that it did not run the request.
+    /// The server states that it didn't execute the request.
     TurnedAway,
-    /// Another server is at the address; it did not run the request.
+    /// Another server is at the address; it didn't execute the request.
     Misdirected,
     /// Nothing was sent.
     NotSent,
-    /// It was sent, and no whole answer to it came.
+    /// The request was sent, and no complete answer was received.
     Broken,
-    /// It was sent, and nothing came in the time it had.
+    /// The request was sent, and nothing was received in time.
     Silent,
 }
 
-/// What is done next.
+/// The next step of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Next {
-    /// Look for a server.
+    /// Select a server for another attempt.
     Send,
-    /// Pass on the answer that has come.
+    /// Forward the answer that was received.
     Pass,
-    /// Answer so.
+    /// Answer with this error.
     End(Kind),
 }
 
-/// One request from its reading to its answer.
+/// One request, from its receipt to its answer.
 #[derive(Clone, Debug)]
 pub struct RequestState {
-    /// Whether it may run more than once.
+    /// Whether the request may be executed more than once.
     pub repeats: Repeats,
-    /// When it was read.
+    /// When it was received.
     pub begun: Millis,
-    /// When its time is over.
+    /// When it must be answered.
     pub deadline: Millis,
-    /// An answer by then has its full worth.
+    /// The target latency, ms.
     pub aim: Millis,
-    /// To how many servers it may go.
+    /// Maximum number of attempts.
     pub attempts: u32,
-    /// Those where it was.
+    /// The servers that were tried.
     pub tried: Vec<Rc<str>>,
-    /// Whether it may have run anywhere.
+    /// Whether any server may have executed it.
     pub may_have_run: bool,
 }
 
 impl RequestState {
-    /// Until when it may wait for a server to have room.
+    /// Until when the request may wait for a server with free capacity.
     pub fn hold_until(&self) -> Millis {
-        (self.begun + (self.aim as f64 * HOLD) as Millis).min(self.deadline)
+        (self.begun + (self.aim as f64 * QUEUE_FRACTION) as Millis).min(self.deadline)
     }
 
-    /// What an attempt tells of its server, after so long.
+    /// What an attempt that took this long shows about its server.
     pub fn sign(outcome: &Outcome, took: Millis) -> Sign {
         match outcome {
             Outcome::Answer(200..=299) => Sign::Good(took),
@@ -81,8 +82,8 @@
         }
     }
 
-    /// What follows from the end of an attempt. `usual` is a usual answer's time, ms; `budget` is asked for another
-    /// try only where everything else allows one.
+    /// Determines the next step after an attempt ended. `usual` is the usual latency, ms; `budget` is called
+    /// only if everything else permits another attempt.
     pub fn on_outcome(
         &mut self,
         now: Millis,
@@ -90,8 +91,8 @@
         usual: f64,
         budget: impl FnOnce() -> bool,
     ) -> Next {
-        let ran = matches!(outcome, Outcome::Answer(_) | Outcome::Broken | Outcome::Silent);
-        self.may_have_run |= ran;
+        let may_have_run = matches!(outcome, Outcome::Answer(_) | Outcome::Broken | Outcome::Silent);
+        self.may_have_run |= may_have_run;
         let failed = match outcome {
             Outcome::Answer(status) => *status >= 500,
             _ => true,
@@ -100,7 +101,7 @@
             return Next::Pass;
         }
         let allowed = self.repeats == Repeats::Safe || !self.may_have_run;
-        if allowed && self.is_worth_a_try(now, usual) && self.has_attempts() && budget() {
+        if allowed && self.has_time_for_retry(now, usual) && self.has_attempts() && budget() {
             return Next::Send;
         }
         match outcome {
@@ -109,18 +110,18 @@
         }
     }
 
-    /// When a server that is sent the request now is overdue, so that another may be asked beside it: never, where no
-    /// other may have it.
+    /// When a server to which the request is sent now is overdue, so that a hedged request may be sent to
+    /// another; `None` if no other attempt is permitted.
     pub fn overdue_at(&self, now: Millis) -> Option<Millis> {
         let left = self.deadline.saturating_sub(now);
-        let patience = (left as f64 * PATIENCE) as Millis;
-        (self.may_hedge() && patience > 0).then_some(now + patience)
+        let hedge_delay = (left as f64 * HEDGE_FRACTION) as Millis;
+        (self.may_hedge() && hedge_delay > 0).then_some(now + hedge_delay)
     }
 
-    /// Whether another server is asked beside one that is overdue, which goes on working: whichever answers first is
-    /// passed on. `usual` and `budget` are as in [`RequestState::on_outcome`].
+    /// Whether to send a hedged request to another server while the overdue one continues; the first answer
+    /// is forwarded. `usual` and `budget` are as in [`RequestState::on_outcome`].
     pub fn hedges(&self, now: Millis, usual: f64, budget: impl FnOnce() -> bool) -> bool {
-        self.may_hedge() && self.is_worth_a_try(now, usual) && budget()
+        self.may_hedge() && self.has_time_for_retry(now, usual) && budget()
     }
 
     fn may_hedge(&self) -> bool {
@@ -131,11 +132,11 @@
         (self.tried.len() as u32) < self.attempts
     }
 
-    fn is_worth_a_try(&self, now: Millis, usual: f64) -> bool {
-        now as f64 + WORTH * usual < self.deadline as f64
+    fn has_time_for_retry(&self, now: Millis, usual: f64) -> bool {
+        now as f64 + RETRY_TIME_FRACTION * usual < self.deadline as f64
     }
 
-    /// The final answer where no server's is passed on.
+    /// The error to answer with if no server's answer is forwarded.
     pub fn ending(&self, now: Millis) -> Kind {
         match (self.may_have_run, now >= self.deadline) {
             (false, _) => Kind::NoRoom,
@@ -156,7 +157,7 @@
     }
 
     #[gtest]
-    fn what_may_run_once_goes_on_only_where_it_certainly_did_not_run() {
+    fn a_non_repeatable_request_is_retried_only_if_it_certainly_was_not_executed() {
         for (outcome, once, safe) in [
             (Outcome::Answer(200), Next::Pass, Next::Pass),
             (Outcome::Answer(404), Next::Pass, Next::Pass),
@@ -175,7 +176,7 @@
     }
 
     #[gtest]
-    fn attempts_time_and_budget_bound_further_tries_and_only_what_did_not_run_is_promised_so() {
+    fn retries_are_bounded_by_attempts_time_and_budget_and_503_is_only_for_unexecuted_requests() {
         let mut all_tried = request(Repeats::Safe);
         all_tried.tried.push("b".into());
         expect_that!(
@@ -193,9 +194,9 @@
         let mut late = request(Repeats::Safe);
         expect_that!(late.on_outcome(590, &Outcome::NotSent, 50.0, || true), eq(&Next::End(Kind::NoRoom)));
         expect_that!(late.on_outcome(600, &Outcome::Silent, 50.0, || true), eq(&Next::End(Kind::Deadline)));
-        let mut poor = request(Repeats::Safe);
+        let mut without_budget = request(Repeats::Safe);
         expect_that!(
-            poor.on_outcome(100, &Outcome::TurnedAway, 50.0, || false),
+            without_budget.on_outcome(100, &Outcome::TurnedAway, 50.0, || false),
             eq(&Next::End(Kind::NoRoom))
         );
     }
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -1,59 +1,61 @@
-//! The servers as one gatekeeper knows them, and the choice among them.
+//! The servers known to one gatekeeper, and load balancing among them.
 //!
-//! What markers tell says which there are. What answers and failures say is this gatekeeper's own: how slow each is
-//! compared with its service, what is under way there from here, and whether it failed.
+//! Markers report which servers exist. Latency relative to the service, requests in flight and failures are
+//! observed locally by this gatekeeper.
 
 use crate::Millis;
 use granitelead_control_protocol::words::{Instance, State};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// How much better a server of another zone must look: what others have under way there is seen least of all. More saves
-/// further bytes where servers have six slots, and makes answers late where they have two (measured: 1.3 to 2.2).
-const CROSS_ZONE: f64 = 1.5;
-/// Servers drawn for each request, of which the best is taken: nearly the best of all, and not the same at all
-/// gatekeepers.
-const DRAWS: usize = 10;
-/// Weight of a new answer in what is known of a server, and in what is known of its service.
-const LEARN: (f64, f64) = (0.2, 0.03);
-/// A server that fails is left alone for so long at first; doubled with each further failure, so often at most.
-const AVOID: (Millis, u32) = (600, 4);
-/// Most of what a server may have under way from here, in its slots, before others must take it.
-const DEEPEST: f64 = 1.5;
-/// A cold server is taken to be so much slower.
-const COLD: f64 = 2.0;
-/// One that is gone is remembered for so long, so that a marker that was away does not bring it back.
-const REMEMBER: Millis = 30_000;
-/// A server that is told to be silent is believed to live if it answered here so lately.
-const ANSWERED: Millis = 3_000;
+/// Penalty factor for servers in another zone, where the load from other gatekeepers is the least visible.
+/// Measured from 1.3 to 2.2: a higher factor saves further cross-zone traffic where servers have six slots,
+/// but delays answers where they have two.
+const CROSS_ZONE_FACTOR: f64 = 1.5;
+/// Candidates drawn per request, of which the best is taken. The choice is close to the best of all servers,
+/// but differs between gatekeepers.
+const CANDIDATES: usize = 10;
+/// Weights of a new sample in the moving averages of a server's relative latency and of its service's
+/// latency.
+const LEARNING_RATES: (f64, f64) = (0.2, 0.03);
+/// How long a failing server is avoided at first, and how many times further failures can double this.
+const AVOIDANCE: (Millis, u32) = (600, 4);
+/// Maximum requests in flight to a server from this gatekeeper, as a multiple of its slots.
+const IN_FLIGHT_MAX: f64 = 1.5;
+/// Factor by which a cold server is expected to be slower.
+const COLD_FACTOR: f64 = 2.0;
+/// How long a server that is gone is remembered, so that a marker with outdated state doesn't bring it back.
+const GONE_RETENTION: Millis = 30_000;
+/// A server that a marker reports as silent is still considered alive if it answered here within this time.
+const ANSWER_VALIDITY: Millis = 3_000;
 
-/// One life of a server.
+/// One incarnation of a server.
 #[derive(Debug)]
 pub struct Server {
-    /// What is told of it.
+    /// Its latest reported state.
     pub told: Instance,
-    /// Requests under way from here.
-    pub under_way: u32,
-    slow: f64,
-    answered: Option<Millis>,
+    /// Requests in flight from this gatekeeper.
+    pub in_flight: u32,
+    relative_latency: f64,
+    answered_at: Option<Millis>,
     failures: u32,
     avoid_until: Millis,
     cold_until: Millis,
-    gone: Millis,
+    gone_at: Millis,
 }
 
-/// How a request ended at a server, as far as it tells something of the server.
+/// What the end of a request shows about its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign {
-    /// A good answer, after so long.
+    /// A successful answer, after this many ms.
     Good(Millis),
-    /// It turned the request away: it is full.
+    /// The server turned the request away because it is at capacity.
     Full,
-    /// It is not the one that was meant, or it can't be connected to.
+    /// Another server is at the address, or the connection failed.
     Absent,
-    /// It broke off, answered what is no answer, or failed.
+    /// The server broke the connection, sent an invalid answer, or reported a failure.
     Failed,
-    /// Nothing that tells of it.
+    /// Nothing about the server.
     Nothing,
 }
 
@@ -63,58 +65,60 @@
     zone: String,
     by_id: BTreeMap<Rc<str>, Server>,
     services: BTreeMap<String, BTreeSet<Rc<str>>>,
-    /// Mean time of good answers by service and kind of request, ms.
+    /// Mean latency of successful answers by service and latency class, ms.
     typical: BTreeMap<String, BTreeMap<u32, f64>>,
     rng: fastrand::Rng,
 }
 
-/// Kinds of requests: those whose aims are within a factor of two, so that there are 64 at the most.
-fn kind(aim: Millis) -> u32 {
+/// Latency classes of requests: target latencies within a factor of two share one, so there are at most 64.
+fn latency_class(aim: Millis) -> u32 {
     aim.max(1).ilog2()
 }
 
 impl Servers {
-    /// Those that a gatekeeper of this zone knows: none yet.
+    /// Creates an empty set of servers for a gatekeeper in the given zone.
     pub fn new(zone: &str, seed: u64) -> Servers {
         Servers { zone: zone.to_owned(), rng: fastrand::Rng::with_seed(seed), ..Servers::default() }
     }
 
-    /// Takes in what a marker tells.
+    /// Applies the updates that a marker sent.
     pub fn take(&mut self, now: Millis, told: Vec<Instance>) {
-        for word in told {
-            let id: Rc<str> = word.id.as_str().into();
+        for update in told {
+            let id: Rc<str> = update.id.as_str().into();
             let Some(server) = self.by_id.get_mut(&id) else {
-                if word.state != State::Gone {
-                    self.services.entry(word.service.clone()).or_default().insert(id.clone());
-                    let cold_until = now + word.cold_ms;
+                if update.state != State::Gone {
+                    self.services.entry(update.service.clone()).or_default().insert(id.clone());
+                    let cold_until = now + update.cold_ms;
                     let server = Server {
-                        told: word,
-                        under_way: 0,
-                        slow: 1.0,
-                        answered: None,
+                        told: update,
+                        in_flight: 0,
+                        relative_latency: 1.0,
+                        answered_at: None,
                         failures: 0,
                         avoid_until: 0,
                         cold_until,
-                        gone: 0,
+                        gone_at: 0,
                     };
                     self.by_id.insert(id, server);
                 }
                 continue;
             };
-            if (word.sequence, word.state) <= (server.told.sequence, server.told.state) {
+            if (update.sequence, update.state) <= (server.told.sequence, server.told.state) {
                 continue;
             }
-            // Silence at a marker is less than an answer here; a server that says that it ends has ended.
-            let silent = word.state == State::Gone && word.sequence != u64::MAX;
-            if silent && server.answered.is_some_and(|at| now < at + ANSWERED) {
+            // An answer received here outweighs missed heartbeats at a marker; a server that deregistered has
+            // ended.
+            let silent = update.state == State::Gone && update.sequence != u64::MAX;
+            if silent && server.answered_at.is_some_and(|at| now < at + ANSWER_VALIDITY) {
                 continue;
             }
-            server.told.update(word);
-            server.gone = now;
+            server.told.update(update);
+            server.gone_at = now;
         }
-        let gone = |s: &Server| s.told.state == State::Gone && s.under_way == 0 && now >= s.gone + REMEMBER;
+        let is_forgotten =
+            |s: &Server| s.told.state == State::Gone && s.in_flight == 0 && now >= s.gone_at + GONE_RETENTION;
         self.by_id.retain(|id, server| {
-            let keeps = !gone(server);
+            let keeps = !is_forgotten(server);
             if !keeps {
                 if let Some(ids) = self.services.get_mut(&server.told.service) {
                     ids.remove(id);
@@ -124,33 +128,33 @@
         });
     }
 
-    /// All that are not gone, as others are to know them.
+    /// All servers that aren't gone, to be sent to markers.
     pub fn all(&self) -> Vec<Instance> {
         self.by_id.values().map(|s| &s.told).filter(|told| told.state != State::Gone).cloned().collect()
     }
 
-    /// How many are ready, by service.
+    /// The number of ready servers of a service.
     pub fn ready(&self, service: &str) -> usize {
         let ids = self.services.get(service).into_iter().flatten();
         ids.filter(|id| self.by_id.get(*id).is_some_and(|s| s.told.state == State::Ready)).count()
     }
 
-    /// A server by its life.
+    /// The server with this incarnation id.
     pub fn get(&self, id: &str) -> Option<&Server> {
         self.by_id.get(id)
     }
 
-    /// What a request would have to wait for at a server, in parts of what is usual.
-    fn expected(&self, server: &Server, now: Millis) -> f64 {
+    /// The expected latency of a request at a server, relative to its service.
+    fn expected_latency(&self, server: &Server, now: Millis) -> f64 {
         let slots = f64::from(server.told.slots.max(1));
-        let load = (f64::from(server.under_way) + 1.0) / slots;
-        let zone = if server.told.zone == self.zone { 1.0 } else { CROSS_ZONE };
-        let cold = if now < server.cold_until { COLD } else { 1.0 };
-        server.slow * cold * zone * (0.5 + load)
+        let load = (f64::from(server.in_flight) + 1.0) / slots;
+        let zone = if server.told.zone == self.zone { 1.0 } else { CROSS_ZONE_FACTOR };
+        let cold = if now < server.cold_until { COLD_FACTOR } else { 1.0 };
+        server.relative_latency * cold * zone * (0.5 + load)
     }
 
-    /// The best server of a service for a request that was tried at some already, of a few that are drawn by their
-    /// speed. `None` where all have as much as they may have.
+    /// Selects a server of a service for a request, other than those that were tried: the best of a few
+    /// candidates drawn with weights by speed. `None` if all servers are at their limit.
     pub fn pick(&mut self, now: Millis, service: &str, tried: &[Rc<str>]) -> Option<Rc<str>> {
         let ids = self.services.get(service)?;
         let ready: Vec<(&Rc<str>, &Server)> = ids
@@ -158,65 +162,68 @@
             .filter_map(|id| self.by_id.get(id).map(|server| (id, server)))
             .filter(|(id, s)| s.told.state == State::Ready && !tried.contains(*id))
             .collect();
-        let has_room = |s: &Server| f64::from(s.under_way) < f64::from(s.told.slots) * DEEPEST;
-        let well: Vec<&(&Rc<str>, &Server)> = ready.iter().filter(|(_, s)| now >= s.avoid_until).collect();
-        // If most of a service seems ill, it is not the servers.
-        let all: Vec<&(&Rc<str>, &Server)> =
-            if well.len() * 2 >= ready.len() { well } else { ready.iter().collect() };
-        let fit: Vec<_> = all.into_iter().filter(|(_, s)| has_room(s)).collect();
+        let has_capacity = |s: &Server| f64::from(s.in_flight) < f64::from(s.told.slots) * IN_FLIGHT_MAX;
+        let healthy: Vec<&(&Rc<str>, &Server)> = ready.iter().filter(|(_, s)| now >= s.avoid_until).collect();
+        // If more than half of a service's servers seem to fail, the cause is probably elsewhere: failures
+        // are ignored.
+        let candidates: Vec<&(&Rc<str>, &Server)> =
+            if healthy.len() * 2 >= ready.len() { healthy } else { ready.iter().collect() };
+        let available: Vec<_> = candidates.into_iter().filter(|(_, s)| has_capacity(s)).collect();
         let weight = |s: &Server| {
             let zone = if s.told.zone == self.zone { 1.0 } else { 0.12 };
-            zone * f64::from(s.told.slots) / s.slow.max(0.05)
+            zone * f64::from(s.told.slots) / s.relative_latency.max(0.05)
         };
-        let sum: f64 = fit.iter().map(|(_, s)| weight(s)).sum();
+        let sum: f64 = available.iter().map(|(_, s)| weight(s)).sum();
         let mut draw = || {
             let mut at = self.rng.f64() * sum;
-            fit.iter()
+            available
+                .iter()
                 .find(|(_, s)| {
                     at -= weight(s);
                     at <= 0.0
                 })
-                .or(fit.last())
+                .or(available.last())
         };
-        let drawn: Vec<_> = (0..DRAWS).filter_map(|_| draw()).collect();
-        let wait = |one: &(&Rc<str>, &Server)| self.expected(one.1, now);
-        let best = drawn.into_iter().min_by(|a, b| wait(a).total_cmp(&wait(b)))?;
+        let drawn: Vec<_> = (0..CANDIDATES).filter_map(|_| draw()).collect();
+        let latency = |candidate: &(&Rc<str>, &Server)| self.expected_latency(candidate.1, now);
+        let best = drawn.into_iter().min_by(|a, b| latency(a).total_cmp(&latency(b)))?;
         Some(best.0.clone())
     }
 
-    /// A request is sent to a server.
+    /// Records that a request is sent to a server.
     pub fn begin(&mut self, id: &str) {
         if let Some(server) = self.by_id.get_mut(id) {
-            server.under_way += 1;
+            server.in_flight += 1;
         }
     }
 
-    /// A request with this aim has ended there.
+    /// Records that a request with this target latency has ended at a server.
     pub fn end(&mut self, now: Millis, id: &str, sign: Sign, aim: Millis) {
         if let Some(server) = self.by_id.get_mut(id) {
-            server.under_way = server.under_way.saturating_sub(1);
+            server.in_flight = server.in_flight.saturating_sub(1);
         }
         self.observe(now, id, sign, aim);
     }
 
-    /// Learns something of a server from a request with this aim, which may still be under way there. What is usual is
-    /// known for each kind of request: a service that answers searches in a second and payments in a tenth of one would
-    /// else look fast or slow by what it was asked for.
+    /// Updates the statistics of a server from a request with this target latency, which may still be in
+    /// flight. Mean latencies are kept per latency class: otherwise the servers of a service that answers
+    /// searches in 1 s and payments in 0.1 s would look fast or slow depending on the requests they got.
     pub fn observe(&mut self, now: Millis, id: &str, sign: Sign, aim: Millis) {
         let Some(server) = self.by_id.get_mut(id) else { return };
         match sign {
             Sign::Good(took) => {
-                (server.answered, server.failures) = (Some(now), 0);
-                let cold = if now < server.cold_until { COLD } else { 1.0 };
+                (server.answered_at, server.failures) = (Some(now), 0);
+                let cold = if now < server.cold_until { COLD_FACTOR } else { 1.0 };
                 let took = took.max(1) as f64 / cold;
-                let kinds = self.typical.entry(server.told.service.clone()).or_default();
-                let typical = kinds.entry(kind(aim)).or_insert(took);
-                server.slow += ((took / *typical).clamp(0.1, 10.0) - server.slow) * LEARN.0;
-                *typical += (took - *typical) * LEARN.1;
+                let classes = self.typical.entry(server.told.service.clone()).or_default();
+                let typical = classes.entry(latency_class(aim)).or_insert(took);
+                server.relative_latency +=
+                    ((took / *typical).clamp(0.1, 10.0) - server.relative_latency) * LEARNING_RATES.0;
+                *typical += (took - *typical) * LEARNING_RATES.1;
             }
-            Sign::Full => server.avoid_until = server.avoid_until.max(now + AVOID.0 / 10),
+            Sign::Full => server.avoid_until = server.avoid_until.max(now + AVOIDANCE.0 / 10),
             Sign::Absent | Sign::Failed => {
-                let span = AVOID.0 << server.failures.min(AVOID.1);
+                let span = AVOIDANCE.0 << server.failures.min(AVOIDANCE.1);
                 if sign == Sign::Absent || server.failures > 0 {
                     server.avoid_until = now + span;
                 }
@@ -226,9 +233,9 @@
         }
     }
 
-    /// Mean time of a good answer of a service to requests with this aim, ms, where one is known.
+    /// Mean latency of a service's successful answers to requests with this target latency, ms, if known.
     pub fn typical(&self, service: &str, aim: Millis) -> Option<f64> {
-        self.typical.get(service)?.get(&kind(aim)).copied()
+        self.typical.get(service)?.get(&latency_class(aim)).copied()
     }
 }
 
@@ -267,7 +274,7 @@
     }
 
     #[gtest]
-    fn the_own_zone_is_used_while_it_has_room_and_then_the_others() {
+    fn servers_of_the_own_zone_are_preferred_while_they_have_capacity() {
         let mut servers = servers(&[("near", "a"), ("far", "b")]);
         expect_that!(picks(&mut servers, 0)[&Rc::from("near")], ge(190));
         (0..3).for_each(|_| servers.begin("near"));
@@ -277,7 +284,7 @@
     }
 
     #[gtest]
-    fn slow_failing_leaving_and_tried_servers_are_left_alone() {
+    fn slow_failing_draining_and_already_tried_servers_are_avoided() {
         let mut servers = servers(&[("x", "a"), ("y", "a"), ("z", "a")]);
         for _ in 0..30 {
             for (id, took) in [("x", 50), ("y", 50), ("z", 400)] {
@@ -295,7 +302,7 @@
     }
 
     #[gtest]
-    fn a_server_that_answers_here_is_not_gone_because_a_marker_misses_its_beats() {
+    fn a_server_that_answers_here_is_kept_when_a_marker_misses_its_heartbeats() {
         let mut servers = servers(&[("x", "a")]);
         servers.begin("x");
         servers.end(1_000, "x", Sign::Good(10), 250);
@@ -307,10 +314,10 @@
     }
 
     #[gtest]
-    fn a_server_is_not_slow_because_it_is_asked_for_what_takes_long() {
+    fn a_server_is_not_rated_slow_for_slow_kinds_of_requests() {
         let mut servers = servers(&[("x", "a"), ("y", "a")]);
         for _ in 0..60 {
-            // Both work as fast; one has all the long ones.
+            // Both servers are equally fast; one gets all slow requests.
             for (id, took, aim) in [("x", 900, 2_500), ("y", 150, 500)] {
                 servers.begin(id);
                 servers.end(1_000, id, Sign::Good(took), aim);
--- a/crates/proxy/src/sessions.rs
+++ b/crates/proxy/src/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions with markers: opened as far as they are wanted, held while both sides speak.
+//! Connections to markers: opens as many sessions as needed and keeps them alive with pings.
 
 use crate::front::Front;
 use granitelead_base::Backoff;
@@ -11,50 +11,50 @@
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
 
-/// How often what was let in is reported, and sessions are looked after.
+/// Interval of reports of admitted requests and of checks whether sessions are needed.
 pub const BATCH: Duration = Duration::from_millis(50);
-/// How often a session says that it stands.
+/// Ping interval of the session with the attached marker.
 pub const PING: Duration = Duration::from_millis(150);
-/// The same for one that is not the home.
+/// Ping interval of the other sessions.
 pub const PING_OTHER: Duration = Duration::from_millis(550);
-/// A marker that says nothing for so long is gone: it would have answered three times.
+/// A session on which nothing was received for this long is closed: three pings would have been answered.
 pub const SILENCE: Duration = Duration::from_millis(1_800);
 
-/// How long the end of the process waits for its last word to be sent, and how often it looks.
-const LEAVE_MAX: Duration = Duration::from_millis(100);
-/// See [`LEAVE_MAX`].
-const LEAVE_TICK: Duration = Duration::from_millis(5);
+/// Maximum time that shutdown waits for its last messages to be sent.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
+/// Interval of the checks during [`LEAVE_TIMEOUT`].
+const LEAVE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A gatekeeper's sessions with markers.
+/// The connections of a gatekeeper to markers.
 pub struct Sessions {
     front: Rc<Front>,
     port: u16,
-    open: RefCell<BTreeMap<Ipv4Addr, Sender>>,
+    senders: RefCell<BTreeMap<Ipv4Addr, Sender>>,
     connecting: RefCell<BTreeSet<Ipv4Addr>>,
     backoff: RefCell<Backoff>,
 }
 
 impl Sessions {
-    /// None yet; markers listen at this port.
+    /// Creates the state without connections; markers listen at `port`.
     pub fn new(front: Rc<Front>, port: u16) -> Rc<Sessions> {
         Rc::new(Sessions {
             front,
             port,
-            open: RefCell::default(),
+            senders: RefCell::default(),
             connecting: RefCell::default(),
             backoff: RefCell::new(Backoff::new(fastrand::u64(..))),
         })
     }
 
-    /// Keeps sessions open and reports what was let in, for ever.
+    /// Maintains the sessions and reports admitted requests; never completes.
     pub async fn run(self: Rc<Self>) {
         loop {
-            self.look();
-            let (was_ready, batch, is_ready) = {
+            self.adjust_sessions();
+            let (was_ready, messages, is_ready) = {
                 let gate = &mut *self.front.gate.borrow_mut();
-                (gate.is_ready(), gate.on_batch(self.front.now()), gate.is_ready())
+                (gate.is_ready(), gate.on_tick(self.front.now()), gate.is_ready())
             };
-            self.say(batch);
+            self.send(messages);
             if is_ready && !was_ready {
                 self.front.news.notify_waiters();
             }
@@ -62,50 +62,50 @@
         }
     }
 
-    /// Says to all markers that the process ends, and completes once that is sent, or soon after.
+    /// Tells all markers that the process ends; completes once this is sent, or after a short timeout.
     pub async fn leave(&self) {
-        let lines: Vec<Sender> = self.open.borrow().values().cloned().collect();
-        for line in &lines {
-            line.send(&Word::Up(Up::Leave));
+        let senders: Vec<Sender> = self.senders.borrow().values().cloned().collect();
+        for sender in &senders {
+            sender.send(&Word::Up(Up::Leave));
         }
-        let begun = Instant::now();
-        while lines.iter().any(|line| line.unsent() > 0) && begun.elapsed() < LEAVE_MAX {
-            tokio::time::sleep(LEAVE_TICK).await;
+        let started_at = Instant::now();
+        while senders.iter().any(|sender| sender.unsent() > 0) && started_at.elapsed() < LEAVE_TIMEOUT {
+            tokio::time::sleep(LEAVE_CHECK_INTERVAL).await;
         }
     }
 
-    fn say(&self, words: impl IntoIterator<Item = (Ipv4Addr, Up)>) {
-        let open = self.open.borrow();
-        for (ip, word) in words {
-            if let Some(line) = open.get(&ip) {
-                line.send(&Word::Up(word));
+    fn send(&self, messages: impl IntoIterator<Item = (Ipv4Addr, Up)>) {
+        let senders = self.senders.borrow();
+        for (ip, message) in messages {
+            if let Some(sender) = senders.get(&ip) {
+                sender.send(&Word::Up(message));
             }
         }
     }
 
-    /// Looks for further sessions as far as they are wanted.
-    fn look(self: &Rc<Self>) {
+    /// Closes a surplus session and opens one if more are needed.
+    fn adjust_sessions(self: &Rc<Self>) {
         let wanted = {
             let connecting = self.connecting.borrow();
             self.front.gate.borrow_mut().control.wanted(&connecting)
         };
         if let Some(ip) = self.front.gate.borrow().control.surplus() {
-            self.open.borrow().get(&ip).iter().for_each(|line| line.close());
+            self.senders.borrow().get(&ip).iter().for_each(|sender| sender.close());
         }
         if let Some(ip) = wanted {
             self.connecting.borrow_mut().insert(ip);
-            spawn_local(self.clone().hold(ip));
+            spawn_local(self.clone().run_session(ip));
         }
     }
 
-    /// Opens a session and holds it until it ends.
-    async fn hold(self: Rc<Self>, ip: Ipv4Addr) {
-        let dialled = line::dial(SocketAddr::from((ip, self.port))).await;
-        let stream = match dialled {
+    /// Connects to a marker and serves the session until it ends.
+    async fn run_session(self: Rc<Self>, ip: Ipv4Addr) {
+        let connected = line::dial(SocketAddr::from((ip, self.port))).await;
+        let stream = match connected {
             Ok(stream) => stream,
             Err(ended) => {
-                log::info!("{ip}: {ended}");
-                // Drawn, so that gatekeepers that lost a marker together do not come back together.
+                log::info!("can't connect to marker {ip}: {ended}");
+                // Random backoff, so that gatekeepers that lost a marker together don't reconnect together.
                 let wait = self.backoff.borrow_mut().draw();
                 tokio::time::sleep(wait).await;
                 self.connecting.borrow_mut().remove(&ip);
@@ -119,41 +119,42 @@
             let (has, servers) = (gate.revision(), gate.servers.all());
             gate.control.open(self.front.now(), ip, has, servers)
         };
-        self.open.borrow_mut().insert(ip, sender.clone());
+        self.senders.borrow_mut().insert(ip, sender.clone());
         self.connecting.borrow_mut().remove(&ip);
         sender.send(&Word::Up(hello));
         let sessions = self.clone();
-        let carried = line::carry(stream, sender.clone(), SILENCE, move |word| sessions.take(ip, word));
+        let transport =
+            line::carry(stream, sender.clone(), SILENCE, move |message| sessions.on_message(ip, message));
         let pings = async {
-            let mut said = Instant::now();
+            let mut pinged_at = Instant::now();
             loop {
                 tokio::time::sleep(PING).await;
-                let home = self.front.gate.borrow().control.home() == Some(ip);
-                if home || said.elapsed() >= PING_OTHER {
-                    said = Instant::now();
+                let is_attached = self.front.gate.borrow().control.home() == Some(ip);
+                if is_attached || pinged_at.elapsed() >= PING_OTHER {
+                    pinged_at = Instant::now();
                     sender.send(&Word::Up(Up::Ping));
                 }
             }
         };
         let ended = tokio::select! {
-            ended = carried => ended,
+            ended = transport => ended,
             () = pings => line::Ended::Closed,
         };
-        log::info!("session with {ip}: {ended}");
-        self.open.borrow_mut().remove(&ip);
-        let say = self.front.gate.borrow_mut().control.close(ip);
-        self.say(say);
+        log::info!("session with marker {ip} ended: {ended}");
+        self.senders.borrow_mut().remove(&ip);
+        let messages = self.front.gate.borrow_mut().control.close(ip);
+        self.send(messages);
     }
 
-    fn take(&self, ip: Ipv4Addr, word: Word) {
-        let Word::Down(word) = word else { return };
+    fn on_message(&self, ip: Ipv4Addr, message: Word) {
+        let Word::Down(message) = message else { return };
         let now = self.front.now();
-        let news = word != Down::Pong;
-        let say = self.front.gate.borrow_mut().on_down(now, ip, word);
-        if news {
+        let is_update = message != Down::Pong;
+        let messages = self.front.gate.borrow_mut().on_message(now, ip, message);
+        if is_update {
             self.front.room.notify_waiters();
             self.front.news.notify_waiters();
         }
-        self.say(say);
+        self.send(messages);
     }
 }
--- a/crates/proxy/src/split.rs
+++ b/crates/proxy/src/split.rs
@@ -1,16 +1,20 @@
-//! Which of a route's services a request goes to: each gets its weight's share, more evenly than by independent draws.
+//! Traffic splitting: selects the service of a route for each request, in proportion to the weights and with
+//! less deviation than independent random draws.
 //!
-//! Each route has a position on a circle that the weights divide; it steps on by the golden ratio with each request. Any run of
-//! such steps covers the circle evenly: after n requests a share is off by some requests, not by the root of n. The position
-//! begins at random, so that a few requests at each of many gatekeepers are spread as well.
+//! Each route has a position on a circle that the weights divide into arcs, and advances by the golden ratio
+//! with each request. Any run of such steps covers the circle evenly: after n requests the deviation of a
+//! share is a small constant number of requests, not proportional to the root of n. The initial position is
+//! random, so that a few requests at each of many gatekeepers are spread as well.
 
 use granitelead_common::configuration::Route;
 use std::collections::HashMap;
 
-/// A step around the circle: no other is further from repeating itself.
+/// The step around the circle. The golden ratio is the irrational number that rational numbers approximate
+/// worst, so the positions stay evenly spread.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
-/// The positions of all routes with more than one service that were asked for under one configuration, by host and place.
+/// The positions of all routes that split their traffic, under one configuration version, by host and route
+/// index.
 #[derive(Default)]
 pub struct Splits {
     version: u32,
@@ -18,15 +22,15 @@
 }
 
 impl Splits {
-    /// The service that the next request of a route goes to, as its place in the configuration; none where the route has
-    /// none. `dice`, from 0 to 1, sets where a route begins.
+    /// Selects the service of a route's next request, as its index in the configuration; `None` if the route
+    /// has no service. `initial_position`, from 0 to 1, sets the initial position of a route.
     pub fn next(
         &mut self,
         version: u32,
         host: &str,
-        place: usize,
+        rule_index: usize,
         route: &Route,
-        dice: f64,
+        initial_position: f64,
     ) -> Option<usize> {
         if route.split.len() < 2 {
             return route.split.first().map(|(service, _)| *service);
@@ -34,15 +38,15 @@
         if self.version != version {
             (self.version, self.positions) = (version, HashMap::new());
         }
-        let position = self.positions.entry((host.to_owned(), place)).or_insert(dice);
+        let position = self.positions.entry((host.to_owned(), rule_index)).or_insert(initial_position);
         *position = (*position + GOLDEN_RATIO).fract();
         let sum: f64 = route.split.iter().map(|(_, weight)| weight).sum();
-        let mut at = *position * sum;
-        let met = route.split.iter().find(|(_, weight)| {
-            at -= weight;
-            at < 0.0 && *weight > 0.0
+        let mut offset = *position * sum;
+        let selected = route.split.iter().find(|(_, weight)| {
+            offset -= weight;
+            offset < 0.0 && *weight > 0.0
         });
-        met.or(route.split.first()).map(|(service, _)| *service)
+        selected.or(route.split.first()).map(|(service, _)| *service)
     }
 }
 
@@ -70,15 +74,15 @@
         parse(text.to_string().as_bytes()).unwrap()
     }
 
-    /// How many of so many requests each service gets, summed over gatekeepers that each begin elsewhere.
+    /// Counts the requests that each service gets in total from gatekeepers with different initial positions.
     fn shares(weights: &[f64], gatekeepers: usize, requests: usize) -> Vec<usize> {
         let read = configuration(weights);
         let route = read.route("h", "/a").unwrap();
         let (mut counts, mut rng) = (vec![0; weights.len()], fastrand::Rng::with_seed(7));
         for _ in 0..gatekeepers {
-            let (mut splits, dice) = (Splits::default(), rng.f64());
+            let (mut splits, initial_position) = (Splits::default(), rng.f64());
             for _ in 0..requests {
-                counts[splits.next(1, "h", 0, route, dice).unwrap()] += 1;
+                counts[splits.next(1, "h", 0, route, initial_position).unwrap()] += 1;
             }
         }
         counts
@@ -91,9 +95,9 @@
             for (gatekeepers, requests) in [(1, 300), (13, 24), (300, 1)] {
                 let all = (gatekeepers * requests) as f64;
                 for (n, count) in shares(&weights, gatekeepers, requests).into_iter().enumerate() {
-                    let due = weights[n] / sum;
-                    let off = if gatekeepers == 300 { 0.06 } else { 0.02 };
-                    expect_that!(count as f64 / all, near(due, off), "{weights:?}, {gatekeepers}");
+                    let expected = weights[n] / sum;
+                    let tolerance = if gatekeepers == 300 { 0.06 } else { 0.02 };
+                    expect_that!(count as f64 / all, near(expected, tolerance), "{weights:?}, {gatekeepers}");
                 }
             }
         }
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -1,185 +1,194 @@
-//! Tenants: a bounded, aging table of what each has used, by the decisions that every gatekeeper of the project makes.
+//! Per-tenant quotas: a bounded, aging table of each tenant's usage, based on the decision module that all
+//! gatekeepers share.
 //!
-//! What the others let in comes as totals. A gatekeeper that does not hear them keeps to its even part of each quota,
-//! and those that miss it leave that part to it: on both sides of a cut together the quota holds.
+//! The requests admitted by the other gatekeepers arrive as totals. A gatekeeper that doesn't receive them
+//! limits itself to an even share of each quota, and the gatekeepers that can't reach it leave that share
+//! unused, so that the quota holds across both sides of a network partition.
 //!
-//! Whoever begins to count anew (its process has started, it counts with another marker, a tenant is seen for the first
-//! time) begins from what all let in in the last window, and never from a full store; what was let in beyond a quota stays
-//! owed through every such change.
+//! A gatekeeper that starts counting from scratch (its process has started, its attached marker has changed, a
+//! tenant is seen for the first time) starts from what all gatekeepers admitted in the last window, never
+//! from a full bucket. Usage in excess of a quota remains a debt across each such change.
 
-use crate::budget::GATEKEEPERS_UNTOLD;
+use crate::budget::GATEKEEPERS_ASSUMED;
 use crate::Millis;
 use granitelead_common::configuration::Tenant;
 use granitelead_common::recent_use::{Known, RecentUse};
 use granitelead_decisions::{Customer, CustomerId, Plan};
 use std::collections::HashMap;
 
-/// Tenants in the table; the write-up's 100k.
+/// Maximum number of tenants in the table; the capacity target is 100,000.
 const TABLE_MAX: usize = 100_000;
-/// An entry that was idle for so long is forgotten: by then its counts and box have lapsed.
-const IDLE: Millis = 240_000;
-/// Requests of a tenant that may be open at once: its requests of so many seconds, and never fewer than the second.
-const OPEN: (f64, f64) = (3.0, 20.0);
-/// How far a store may be overdrawn by what was let in unseen, in bursts: it is made up for before more is let in.
-const DEEPEST: f64 = 3.0;
-/// Part of a burst that the store holds: the rest is what may be let in unseen, as words of others are late, while a
-/// tenant begins to ask too much, a cut begins and a home is lost, all within the rule's window.
-const STORE: f64 = 0.6;
-/// Part of a burst that is taken to be left at the begin of what is known of a tenant's use, and of what one that begins to
-/// count may let in beyond what the window leaves.
-const FRESH: f64 = 0.15;
-/// The same where nothing is known of the last window: all have started again, and let in nothing meanwhile.
-const FRESH_UNKNOWN: f64 = 0.4;
-/// The same for one that counts already: what the rule leaves beyond it is for what is let in unseen.
+/// Idle time after which an entry is removed: its counters have decayed by then.
+const IDLE_TIMEOUT: Millis = 240_000;
+/// Limit on a tenant's open requests: seconds of its rate, and the minimum number of requests.
+const OPEN_REQUESTS_MAX: (f64, f64) = (3.0, 20.0);
+/// Maximum debt of a bucket, in bursts, from requests that other gatekeepers admitted before they were
+/// reported here. The debt is repaid before more requests are admitted.
+const DEBT_MAX: f64 = 3.0;
+/// Capacity of the bucket as a fraction of the burst. The remainder covers requests that are admitted before
+/// they are reported, because reports are delayed, while a tenant starts to exceed its quota, a partition
+/// begins and an attached marker is lost, all within one quota window.
+const BUCKET_FRACTION: f64 = 0.6;
+/// Fraction of the burst assumed to remain at the start of the known usage history, and the fraction that a
+/// gatekeeper which starts counting may admit in excess of what the window leaves.
+const INITIAL_FRACTION: f64 = 0.15;
+/// The same if nothing is known of the last window: all gatekeepers have restarted, and admitted nothing
+/// meanwhile.
+const INITIAL_FRACTION_UNKNOWN: f64 = 0.4;
+/// The same for a gatekeeper that is already counting: the rest of the rule's tolerance covers requests that
+/// are admitted before they are reported.
 const WINDOW_SPARE: f64 = 0.3;
-/// How long those that are now missed let in requests without being heard, before they were missed, seconds.
-const UNHEARD: f64 = 1.0;
-/// Least burst, in seconds of the rate, and in requests.
-const BURST: (f64, f64) = (0.2, 1.0);
-/// Time, ms, after which what was let in counts a third in the parts of all.
-const LATELY: f64 = 2_000.0;
-/// When there is room here again, as a rule: once the others are heard of.
-const ROOM: Millis = 100;
-/// Longest advice on when to come back.
-const ADVICE: Millis = 2_000;
+/// How long gatekeepers admit requests without being reported before they are known to be missing,
+/// seconds.
+const UNREPORTED_S: f64 = 1.0;
+/// Minimum burst: seconds of the rate, and requests.
+const BURST_MIN: (f64, f64) = (0.2, 1.0);
+/// Time constant, ms, of the decaying counts that determine each gatekeeper's share.
+const DECAY_MS: f64 = 2_000.0;
+/// Retry delay if the allowance is used up: it is renewed with the next report of the others' usage.
+const ALLOWANCE_WAIT: Millis = 100;
+/// Maximum retry delay.
+const RETRY_DELAY_MAX: Millis = 2_000;
 
 struct Entry {
     customer: Customer,
     plan: Plan,
-    /// The plan before, and until when what was let in by it counts in the window.
-    former: Option<(Plan, Millis)>,
-    seen: Millis,
-    /// What may be let in here until the others are heard of again, of what is left for all; and since when.
-    room: f64,
-    room_at: Millis,
-    /// Let in here since the others were heard of, and when that was.
-    unheard: u32,
-    heard: Millis,
-    /// Whether the others were not heard of yet since it began anew.
-    is_fresh: bool,
-    /// Let in here and by the others, of late.
-    lately: (f64, f64),
-    /// Let in, and refused, by this process.
+    /// The previous plan, and until when requests admitted under it count in the window.
+    previous_plan: Option<(Plan, Millis)>,
+    last_seen: Millis,
+    /// Requests that may be admitted here until the next update of the others' usage, out of what remains for
+    /// all; and when this was computed.
+    allowance: f64,
+    allowance_at: Millis,
+    /// Requests admitted here since the last update of the others' usage, and when that update came.
+    admitted_since_update: u32,
+    updated_at: Millis,
+    /// Whether the first update of the others' usage since the last reset is still to come.
+    awaits_first_update: bool,
+    /// Requests admitted here and by the others, exponentially decayed.
+    recent_requests: (f64, f64),
+    /// Requests that this process admitted and refused.
     admitted: u64,
     refused: u64,
 }
 
 impl Entry {
-    /// One that is seen for the first time, of whose store so much is left for all that share it.
-    fn new(name: &str, whole: Plan, part: f64, gatekeepers: f64, level: f64, now: Millis) -> Entry {
+    /// Creates the entry of a tenant that is seen for the first time; `level` is what remains for all who
+    /// share the bucket.
+    fn new(name: &str, full_plan: Plan, part: f64, gatekeepers: f64, level: f64, now: Millis) -> Entry {
         let mut entry = Entry {
             customer: Customer::default(),
-            plan: whole,
-            former: None,
-            seen: now,
-            room: 0.0,
-            room_at: now,
-            unheard: 0,
-            heard: now,
-            is_fresh: true,
-            lately: (0.0, 0.0),
+            plan: full_plan,
+            previous_plan: None,
+            last_seen: now,
+            allowance: 0.0,
+            allowance_at: now,
+            admitted_since_update: 0,
+            updated_at: now,
+            awaits_first_update: true,
+            recent_requests: (0.0, 0.0),
             admitted: 0,
             refused: 0,
         };
-        entry.begin(name, part, gatekeepers, level, now);
+        entry.reset(name, part, gatekeepers, level, now);
         entry
     }
 
-    /// Begins to count anew, with others than before: its part of the quota, and what is left of it.
-    fn begin(&mut self, name: &str, part: f64, gatekeepers: f64, level: f64, now: Millis) {
+    /// Resets the counters to another share of the quota and to what remains of it.
+    fn reset(&mut self, name: &str, part: f64, gatekeepers: f64, level: f64, now: Millis) {
         let (open, plan) = (self.customer.open, scaled(&self.plan, part));
         self.customer = Customer::new(&plan, &CustomerId(name.to_owned()), 1.0, micros(now), micros(now));
         self.customer.open = open;
         self.customer.drain_to(level);
-        (self.lately, self.is_fresh, self.room_at) = ((0.0, 0.0), true, now);
-        self.room = level.max(0.0) * self.share(gatekeepers);
+        (self.recent_requests, self.awaits_first_update, self.allowance_at) = ((0.0, 0.0), true, now);
+        self.allowance = level.max(0.0) * self.share(gatekeepers);
     }
 
-    /// Another configuration is in force.
+    /// Takes in the limits of another configuration.
     fn change_plan(&mut self, now: Millis, window: Millis, plan: Plan) {
         if (plan.rate, plan.burst) != (self.plan.rate, self.plan.burst) {
-            self.former = Some((std::mem::replace(&mut self.plan, plan), now + window));
+            self.previous_plan = Some((std::mem::replace(&mut self.plan, plan), now + window));
         }
     }
 
-    /// The plan by which the last window is judged: a lower limit holds once a window has passed.
+    /// The plan that applies to the last window: a lower limit takes full effect once a window has passed.
     fn window_plan(&self, now: Millis) -> Plan {
-        match &self.former {
-            Some((former, until)) if now < *until => Plan {
-                rate: former.rate.max(self.plan.rate),
-                burst: former.burst.max(self.plan.burst),
+        match &self.previous_plan {
+            Some((previous, until)) if now < *until => Plan {
+                rate: previous.rate.max(self.plan.rate),
+                burst: previous.burst.max(self.plan.burst),
                 ..self.plan.clone()
             },
             _ => self.plan.clone(),
         }
     }
 
-    /// Takes units as used that nobody has counted here.
-    fn spend(&mut self, units: f64) {
+    /// Deducts units that no counter here includes.
+    fn deduct(&mut self, units: f64) {
         let left = self.customer.left();
         self.customer.drain_to(left - units);
     }
 
-    fn standing(&self) -> Standing {
+    fn status(&self) -> TenantStatus {
         let (admitted, refused) = (self.admitted, self.refused);
-        Standing { admitted, refused, level: self.customer.left(), room: self.room }
+        TenantStatus { admitted, refused, level: self.customer.left(), room: self.allowance }
     }
 
-    /// The part of the store that may be taken here: half by what was let in here of all, half even, so that whoever
-    /// had much does not keep the others from having any.
+    /// The share of the bucket that may be taken here: the mean of this gatekeeper's share of recent requests
+    /// and an even share, so that gatekeepers with much traffic don't starve the others.
     fn share(&self, gatekeepers: f64) -> f64 {
-        let (mine, all) = (self.lately.0, self.lately.0 + self.lately.1);
+        let (mine, all) = (self.recent_requests.0, self.recent_requests.0 + self.recent_requests.1);
         let even = 1.0 / gatekeepers;
         (even + if all > 0.0 { mine / all } else { even }) / 2.0
     }
 
-    /// Whether there is room here for one more. All see the same store: each may take its part of it until it hears
-    /// what the others took, and one request in any case.
-    fn has_room(&mut self, now: Millis, plan: &Plan, gatekeepers: f64) -> bool {
+    /// Whether the allowance permits one more request. All gatekeepers see the same bucket: each may take its
+    /// share until it receives the others' usage, and one request in any case.
+    fn has_allowance(&mut self, now: Millis, plan: &Plan, gatekeepers: f64) -> bool {
         let share = self.share(gatekeepers);
-        let gain = plan.rate * share * (now - self.room_at) as f64 / 1e3;
-        self.room = (self.room + gain).min(plan.burst * share);
-        self.room_at = now;
-        self.room >= 1.0 || self.unheard == 0
+        let gain = plan.rate * share * (now - self.allowance_at) as f64 / 1e3;
+        self.allowance = (self.allowance + gain).min(plan.burst * share);
+        self.allowance_at = now;
+        self.allowance >= 1.0 || self.admitted_since_update == 0
     }
 }
 
-/// What decides on a tenant's next request here, for the figures and for tests.
+/// The state that decides on a tenant's next request here, for metrics and tests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
-    /// Requests let in by this process.
+pub struct TenantStatus {
+    /// Requests admitted by this process.
     pub admitted: u64,
     /// Requests refused by this process.
     pub refused: u64,
-    /// Requests that are left for all gatekeepers of the pool, as far as known here.
+    /// Requests that remain for all gatekeepers in sync, as far as known here.
     pub level: f64,
-    /// Requests that may be let in here until the others are heard of again.
+    /// Requests that may be admitted here until the next update of the others' usage.
     pub room: f64,
 }
 
-/// How a gatekeeper takes part in all quotas.
+/// How a gatekeeper takes part in the shared quotas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Membership {
     /// Gatekeepers that share each quota.
     pub gatekeepers: u32,
-    /// How many of them are not heard.
+    /// How many of them are missing.
     pub missed: u32,
-    /// Whether what the others let in is known.
+    /// Whether the usage of the other gatekeepers is known.
     pub in_touch: bool,
 }
 
-/// All tenants as one gatekeeper counts them.
+/// The tenants as counted by one gatekeeper.
 pub struct Tenants {
     table: HashMap<String, Entry>,
     gatekeepers: u32,
     missed: u32,
-    in_touch: bool,
-    /// What all that are heard let in of late, this gatekeeper included; out of touch it is not followed.
+    in_sync: bool,
+    /// Recent usage by all reachable gatekeepers including this one; not maintained while out of sync.
     recent: RecentUse,
-    /// Since when it counts alone, where it does.
+    /// Since when this gatekeeper has been counting alone, if it does.
     alone_since: Millis,
     window: Millis,
-    swept: Millis,
+    swept_at: Millis,
     rng: fastrand::Rng,
 }
 
@@ -188,210 +197,214 @@
 }
 
 impl Tenants {
-    /// None yet, and no word of what the others let in; quotas are judged by such a window, ms.
+    /// Creates an empty table that is out of sync; quotas apply to a sliding window of `window` ms.
     pub fn new(seed: u64, window: Millis) -> Tenants {
         Tenants {
             table: HashMap::new(),
-            gatekeepers: GATEKEEPERS_UNTOLD,
+            gatekeepers: GATEKEEPERS_ASSUMED,
             missed: 0,
-            in_touch: false,
+            in_sync: false,
             recent: RecentUse::new(window, 0),
             alone_since: 0,
             window,
-            swept: 0,
+            swept_at: 0,
             rng: fastrand::Rng::with_seed(seed),
         }
     }
 
-    /// So many gatekeepers share each quota, of which so many are not heard by the others. Those that are missed now were
-    /// not heard for a while before, and let in their part meanwhile.
-    pub fn share(&mut self, now: Millis, gatekeepers: u32, missed: u32) {
+    /// Sets how many gatekeepers share each quota and how many of them are missing. Those that have just
+    /// become missing admitted their share without reports for a while before: this is deducted.
+    pub fn set_gatekeepers(&mut self, now: Millis, gatekeepers: u32, missed: u32) {
         self.recent.grant(now, self.part());
         let more = missed.saturating_sub(self.missed);
         (self.gatekeepers, self.missed) = (gatekeepers.max(1), missed);
-        if more > 0 && self.in_touch {
-            let unheard = UNHEARD * f64::from(more) / f64::from(self.gatekeepers);
-            self.table.values_mut().for_each(|entry| entry.spend(entry.plan.rate * unheard));
+        if more > 0 && self.in_sync {
+            let unreported = UNREPORTED_S * f64::from(more) / f64::from(self.gatekeepers);
+            self.table.values_mut().for_each(|entry| entry.deduct(entry.plan.rate * unreported));
         }
     }
 
-    /// The marker that counts from now on tells what all let in of late.
-    pub fn begin_from(&mut self, now: Millis, recent: &Known) {
+    /// Replaces the recent usage by that of a new attached marker.
+    pub fn replace_recent_use(&mut self, now: Millis, recent: &Known) {
         self.recent.replace(now, recent);
     }
 
-    /// Whether what the others let in is known.
-    pub fn touch(&mut self, now: Millis, in_touch: bool) {
-        if in_touch != self.in_touch {
-            self.turn(now, in_touch);
+    /// Sets whether the usage of the others is known, and removes idle entries from time to time.
+    pub fn set_in_sync(&mut self, now: Millis, in_sync: bool) {
+        if in_sync != self.in_sync {
+            self.switch_mode(now, in_sync);
         }
-        if now > self.swept + IDLE / 16 {
-            self.swept = now;
+        if now > self.swept_at + IDLE_TIMEOUT / 16 {
+            self.swept_at = now;
             self.recent.forget_idle(now);
-            self.table.retain(|_, entry| entry.customer.open > 0.0 || now < entry.seen + IDLE);
+            self.table.retain(|_, entry| entry.customer.open > 0.0 || now < entry.last_seen + IDLE_TIMEOUT);
         }
     }
 
-    /// Counts with the others from now on, or alone: counts of before are of another kind, and each entry begins anew. What
-    /// was let in beyond the quota stays owed.
-    fn turn(&mut self, now: Millis, in_touch: bool) {
+    /// Switches between counting with the others and counting alone. The counters of the two modes aren't
+    /// comparable, so each entry is reset; usage in excess of the quota remains a debt.
+    fn switch_mode(&mut self, now: Millis, in_sync: bool) {
         let before = self.part();
         self.recent.grant(now, before);
-        self.in_touch = in_touch;
-        if !in_touch {
+        self.in_sync = in_sync;
+        if !in_sync {
             self.alone_since = now;
         }
-        let (n, part) = (self.sharing(), self.part());
-        let is_known = in_touch && self.recent.is_whole(now);
+        let (n, part) = (self.sharers(), self.part());
+        let is_known = in_sync && self.recent.is_whole(now);
         let names: Vec<String> = self.table.keys().cloned().collect();
         for name in names {
-            let level = self.beginning(now, &name);
+            let level = self.initial_level(now, &name);
             let Some(entry) = self.table.get_mut(&name) else { continue };
             entry.customer.advance(&scaled(&entry.plan, before), micros(now), false);
             let carried = entry.customer.left() * part / before;
-            // Where a whole window is known it holds what is owed as well.
+            // A history of a whole window includes the debt.
             let level = if is_known { level } else { level.min(carried) };
-            entry.begin(&name, part, n, level, now);
+            entry.reset(&name, part, n, level, now);
         }
     }
 
-    /// What is left of a tenant's store for those that count together here, where nothing is known but what they let in
-    /// in the last window: whoever refuses from then on keeps to the quota in each window.
-    fn beginning(&self, now: Millis, tenant: &str) -> f64 {
+    /// What remains of a tenant's bucket for all who count together, if only their usage in the last window
+    /// is known: who refuses requests beyond this keeps the quota in each window.
+    fn initial_level(&self, now: Millis, tenant: &str) -> f64 {
         let Some(entry) = self.table.get(tenant) else { return 0.0 };
-        self.level_at_begin(now, tenant, &scaled(&entry.window_plan(now), self.part()))
+        self.capped_level(now, tenant, &scaled(&entry.window_plan(now), self.part()))
     }
 
-    /// The same, and no more than a store of such a plan would have left after the window.
-    fn level_at_begin(&self, now: Millis, tenant: &str, plan: &Plan) -> f64 {
-        let span = if self.in_touch { self.recent.span(now) } else { now.saturating_sub(self.alone_since) };
+    /// The same for a given plan, capped by what a bucket of this plan would hold after the window.
+    fn capped_level(&self, now: Millis, tenant: &str, plan: &Plan) -> f64 {
+        let span = if self.in_sync { self.recent.span(now) } else { now.saturating_sub(self.alone_since) };
         let known = (span as f64 / self.window as f64).min(1.0);
-        let spare = FRESH * known + FRESH_UNKNOWN * (1.0 - known);
-        let level = self.level_of(now, tenant, plan, spare);
-        if !self.in_touch {
+        let spare = INITIAL_FRACTION * known + INITIAL_FRACTION_UNKNOWN * (1.0 - known);
+        let level = self.window_level(now, tenant, plan, spare);
+        if !self.in_sync {
             return level;
         }
         let rate = plan.rate / self.part() / 1e3;
-        level.min(self.recent.left(now, tenant, spare * plan.burst, STORE * plan.burst, rate))
+        level.min(self.recent.left(now, tenant, spare * plan.burst, BUCKET_FRACTION * plan.burst, rate))
     }
 
-    fn level_of(&self, now: Millis, tenant: &str, plan: &Plan, spare: f64) -> f64 {
-        let (span, used) = if self.in_touch {
+    fn window_level(&self, now: Millis, tenant: &str, plan: &Plan, spare: f64) -> f64 {
+        let (span, used) = if self.in_sync {
             (self.recent.granted(now, self.part()) / self.part(), self.recent.used(now, tenant) as f64)
         } else {
             (now.saturating_sub(self.alone_since).min(self.window) as f64, 0.0)
         };
-        (spare * plan.burst + plan.rate * span / 1e3 - used).min(STORE * plan.burst)
+        (spare * plan.burst + plan.rate * span / 1e3 - used).min(BUCKET_FRACTION * plan.burst)
     }
 
-    /// The part of each quota that those share who hear each other; alone, the even part of one.
+    /// The share of each quota that belongs to the gatekeepers in sync with this one; when alone, one even
+    /// share.
     fn part(&self) -> f64 {
         let all = f64::from(self.gatekeepers);
-        if self.in_touch {
+        if self.in_sync {
             (all - f64::from(self.missed)).max(1.0) / all
         } else {
             1.0 / all
         }
     }
 
-    fn sharing(&self) -> f64 {
-        if self.in_touch {
+    fn sharers(&self) -> f64 {
+        if self.in_sync {
             f64::from(self.gatekeepers.saturating_sub(self.missed).max(1))
         } else {
             1.0
         }
     }
 
-    /// Whether a request of a tenant is beyond what it may ask; if not, it is counted. Gives when to come back, ms.
-    pub fn beyond(&mut self, now: Millis, tenant: &Tenant) -> Option<Millis> {
+    /// Counts a request of a tenant if its quota permits it; otherwise returns the retry delay, ms.
+    pub fn rate_limit(&mut self, now: Millis, tenant: &Tenant) -> Option<Millis> {
         if tenant.rate <= 0.0 {
             return None;
         }
-        let (n, part, at) = (self.sharing(), self.part(), micros(now));
-        let whole = Plan {
+        let (n, part, at) = (self.sharers(), self.part(), micros(now));
+        let full_plan = Plan {
             rate: tenant.rate,
-            burst: tenant.burst.max(tenant.rate * BURST.0).max(BURST.1),
-            open: (tenant.rate * OPEN.0).max(OPEN.1),
+            burst: tenant.burst.max(tenant.rate * BURST_MIN.0).max(BURST_MIN.1),
+            open: (tenant.rate * OPEN_REQUESTS_MAX.0).max(OPEN_REQUESTS_MAX.1),
             ..Plan::default()
         };
-        let plan = scaled(&whole, part);
+        let plan = scaled(&full_plan, part);
         if !self.table.contains_key(&tenant.name) {
             if self.table.len() >= TABLE_MAX {
-                return Some(ADVICE);
+                return Some(RETRY_DELAY_MAX);
             }
-            let level = self.level_at_begin(now, &tenant.name, &plan);
-            let entry = Entry::new(&tenant.name, whole.clone(), part, n, level, now);
+            let level = self.capped_level(now, &tenant.name, &plan);
+            let entry = Entry::new(&tenant.name, full_plan.clone(), part, n, level, now);
             self.table.insert(tenant.name.clone(), entry);
         }
         let entry = self.table.get_mut(&tenant.name)?;
-        entry.change_plan(now, self.window, whole);
-        entry.seen = now;
-        let judged = scaled(&entry.window_plan(now), part);
-        let most = self.level_of(now, &tenant.name, &judged, WINDOW_SPARE);
+        entry.change_plan(now, self.window, full_plan);
+        entry.last_seen = now;
+        let window_plan = scaled(&entry.window_plan(now), part);
+        let window_limit = self.window_level(now, &tenant.name, &window_plan, WINDOW_SPARE);
         let entry = self.table.get_mut(&tenant.name)?;
         entry.customer.advance(&plan, at, false);
-        entry.customer.drain_to(most.min(STORE * plan.burst));
+        entry.customer.drain_to(window_limit.min(BUCKET_FRACTION * plan.burst));
         let mut wait = entry.customer.beyond(&plan, 1.0, 0.0, at, self.rng.f64());
-        if wait.is_none() && !entry.has_room(now, &plan, n) {
-            wait = Some(ROOM * 1_000);
+        if wait.is_none() && !entry.has_allowance(now, &plan, n) {
+            wait = Some(ALLOWANCE_WAIT * 1_000);
         }
         if wait.is_some() {
             entry.refused += 1;
         } else {
             entry.admitted += 1;
             entry.customer.take(1.0);
-            entry.room -= 1.0;
-            entry.unheard += 1;
-            entry.lately.0 += 1.0;
-            if self.in_touch {
+            entry.allowance -= 1.0;
+            entry.admitted_since_update += 1;
+            entry.recent_requests.0 += 1.0;
+            if self.in_sync {
                 self.recent.add(now, &tenant.name, 1);
             }
         }
-        wait.map(|wait| (wait / 1_000).clamp(1, ADVICE))
+        wait.map(|wait| (wait / 1_000).clamp(1, RETRY_DELAY_MAX))
     }
 
-    /// What the others have let in since the last word; what is not named is as it was.
-    pub fn hear(&mut self, now: Millis, news: &[(String, u64)]) {
-        let (n, part, at) = (self.sharing(), self.part(), micros(now));
+    /// Adds what the others have admitted since the last update; tenants that aren't listed have no new
+    /// usage.
+    pub fn add_others_use(&mut self, now: Millis, increments: &[(String, u64)]) {
+        let (n, part, at) = (self.sharers(), self.part(), micros(now));
         self.recent.grant(now, part);
-        news.iter().for_each(|(tenant, others)| self.recent.add(now, tenant, *others));
-        let news: HashMap<&str, u64> = news.iter().map(|(name, n)| (name.as_str(), *n)).collect();
+        increments.iter().for_each(|(tenant, others)| self.recent.add(now, tenant, *others));
+        let increments: HashMap<&str, u64> = increments.iter().map(|(name, n)| (name.as_str(), *n)).collect();
         for (name, entry) in &mut self.table {
-            let others = news.get(name.as_str()).copied().unwrap_or(0) as f64;
+            let others = increments.get(name.as_str()).copied().unwrap_or(0) as f64;
             let plan = scaled(&entry.plan, part);
             entry.customer.advance(&plan, at, false);
             let left = entry.customer.left();
-            entry.customer.hear(&plan, others, true, -DEEPEST * plan.burst, at);
-            if std::mem::take(&mut entry.is_fresh) {
-                // The first word would else begin with a store of its own.
+            entry.customer.hear(&plan, others, true, -DEBT_MAX * plan.burst, at);
+            if std::mem::take(&mut entry.awaits_first_update) {
+                // Without this the first update would start with a full bucket.
                 entry.customer.drain_to(left - others);
             }
-            let keeps = (-(now.saturating_sub(entry.heard) as f64) / LATELY).exp();
-            entry.lately = (entry.lately.0 * keeps, entry.lately.1 * keeps + others);
-            entry.room = entry.customer.left().max(0.0) * entry.share(n);
-            (entry.room_at, entry.heard, entry.unheard) = (now, now, 0);
+            let keeps = (-(now.saturating_sub(entry.updated_at) as f64) / DECAY_MS).exp();
+            entry.recent_requests =
+                (entry.recent_requests.0 * keeps, entry.recent_requests.1 * keeps + others);
+            entry.allowance = entry.customer.left().max(0.0) * entry.share(n);
+            (entry.allowance_at, entry.updated_at, entry.admitted_since_update) = (now, now, 0);
         }
     }
 
-    /// How it takes part in all quotas.
+    /// How this gatekeeper takes part in the shared quotas.
     pub fn membership(&self) -> Membership {
-        Membership { gatekeepers: self.gatekeepers, missed: self.missed, in_touch: self.in_touch }
+        Membership { gatekeepers: self.gatekeepers, missed: self.missed, in_touch: self.in_sync }
     }
 
-    /// What decides on a tenant's next request, if it is in the table.
-    pub fn standing(&self, tenant: &str) -> Option<Standing> {
-        self.table.get(tenant).map(Entry::standing)
+    /// The state that decides on a tenant's next request, if the tenant is in the table.
+    pub fn status(&self, tenant: &str) -> Option<TenantStatus> {
+        self.table.get(tenant).map(Entry::status)
     }
 
-    /// The tenants with the most requests here, so many at the most, and what decides on their next ones.
-    pub fn busiest(&self, most: usize) -> Vec<(&str, Standing)> {
-        let mut all: Vec<_> = self.table.iter().map(|(name, e)| (name.as_str(), e.standing())).collect();
+    /// Up to `most` tenants with the most requests here, each with the state that decides on its next
+    /// request.
+    pub fn busiest(&self, most: usize) -> Vec<(&str, TenantStatus)> {
+        let mut all: Vec<_> = self.table.iter().map(|(name, e)| (name.as_str(), e.status())).collect();
         all.sort_by_key(|(name, s)| (std::cmp::Reverse(s.admitted + s.refused), *name));
         all.truncate(most);
         all
     }
 
-    /// A request of a tenant begins, or ends.
+    /// Changes the number of a tenant's open requests.
     pub fn open(&mut self, tenant: &str, by: f64) {
         if let Some(entry) = self.table.get_mut(tenant) {
             entry.customer.open = (entry.customer.open + by).max(0.0);
@@ -399,7 +412,7 @@
     }
 }
 
-/// A part of a plan.
+/// A share of a plan.
 fn scaled(plan: &Plan, part: f64) -> Plan {
     Plan { rate: plan.rate * part, burst: plan.burst * part, ..plan.clone() }
 }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,26 +1,34 @@
-//! The world that timelines and drawn schedules of markers and gatekeepers share. Nothing sleeps; what joins the state
-//! machines (connections, disks, cuts, callers) is made here.
+//! A deterministic simulation of markers and gatekeepers, shared by the timelines and the random schedules.
+//! Nothing sleeps; the environment of the state machines (connections, disks, network faults, callers) is
+//! simulated here.
 //!
-//! What is sent over a link that is cut waits, as TCP holds it; a line or session that hears nothing for about two seconds breaks,
-//! and what waited on it is lost. Each direction of a link is cut by itself.
+//! Messages on a link that is cut are queued, as TCP does; a line or session that receives nothing for about
+//! two seconds breaks, and its queued messages are lost. Each direction of a link is cut separately.
 //!
-//! Cells of a marker or gatekeeper: `up`, `end` (of a gatekeeper: it says that it ends), `kill` (ends the process; its peers see it), `power` (they don't), `cut` (both ways:
-//! of a gatekeeper from all markers, of a marker from the others), `join` (ends all cuts of it; `back`: only the others'
-//! lines to it break). Of a marker also `join m2`, `deaf` (hears no other marker), `mute` (no other marker hears it), `alone` (cut from
-//! markers and gatekeepers), `cut gates` (from these only), `cut servers` and `cut operators`; of a gatekeeper `cut m1`.
+//! Cells of a marker or gatekeeper: `up` starts it, `end` lets a gatekeeper announce its end, `kill` ends the
+//! process so that its peers notice, `power` so that they don't, `cut` cuts both directions (of a gatekeeper
+//! from all markers, of a marker from the other markers), `join` ends all its cuts (`back`: only the others'
+//! lines to it break). Of a marker also `join m2`, `deaf` (receives nothing from other markers), `mute` (no
+//! other marker receives from it), `alone` (cut from markers and gatekeepers), `cut gates` (from gatekeepers
+//! only), `cut servers` and `cut operators`; of a gatekeeper `cut m1`.
 //!
-//! Cells of what happens outside: `put 7` sends a configuration, `read` asks for it, `beat s1`, `drain s1`, `leave s1` are calls
-//! of a server, each to the first marker that is up unless a marker is named after it; `order 7` is sent again as operators
-//! do, until it is confirmed; `load 40` lets 40 requests a second come to each gatekeeper; `keep s1` has it beat on its
-//! own until `dies s1`. What must hold: `have 7` and `know 2` (servers that may get something new) at all gatekeepers
-//! that are up and not cut off, `touch` that these hear their homes, `lists m1 2` how many servers a marker knows, `reaper m1`
-//! whose duty that is by all markers that are not cut off, `answered s1`, `waits s1` and `says s1 503` of the last call of a server, of
-//! `put` or of `read` (`reads 7` what it gave), `confirmed 7` of an order, `contact m1 yes` and `version m1 7` what a marker says of itself and `tells m1
-//! g1 no` what it told a gatekeeper last, `sessions 3 6` how many sessions each gatekeeper has with
-//! markers in contact, and at the most with all, `ready g1`, `unready g1`, `holds g1 7`, `home g1 m2` (`-` for none, `!m2` for
-//! any other).
-
-// Each file of tests uses its part of it.
+//! Cells of the column `outside`, actions: `put 7` sends a configuration, `read` asks for it, `beat s1`,
+//! `drain s1` and `leave s1` are calls of a server; each goes to the first marker that is up unless a marker
+//! is named at the end. `order 7` is a configuration that is sent again until it is confirmed, as operators
+//! do; `load 40` sends 40 requests a second to each gatekeeper; `keep s1` sends periodic heartbeats of a
+//! server until `dies s1`.
+//!
+//! Cells of the column `outside`, checks: `have 7` and `know 2` (the version in force, and the number of
+//! ready servers) hold at all gatekeepers that are up and not cut off, `touch` that these are in sync with
+//! their attached markers; `lists m1 2` is the number of servers that a marker knows, `reaper m1` the holder of
+//! that duty according to all markers that are not cut off; `answered s1`, `waits s1` and `says s1 503` check
+//! the last call of a server, of `put` or of `read` (`reads 7`: the version that was read), `confirmed 7` an
+//! order; `contact m1 yes` and `version m1 7` check what a marker reports of itself and `tells m1 g1 no` what
+//! it last told a gatekeeper of its quorum; `sessions 3 6` is how many sessions each gatekeeper has with
+//! markers that have a quorum, and the maximum with all; `ready g1`, `unready g1`, `holds g1 7`, and `home g1
+//! m2` for its attached marker (`-` for none, `!m2` for any other).
+
+// Each test file uses a part of this module.
 #![allow(dead_code)]
 
 use granitelead_common::configuration::Tenant;
@@ -37,35 +45,35 @@
 use std::time::Duration;
 
 pub const RATE: f64 = 100.0;
-/// Those who call markers, as ends of links.
+/// The callers of markers, as endpoints of links.
 pub const OPERATORS: usize = 900;
 pub const SERVERS: usize = 901;
-/// A connection breaks when nothing came over it for so long.
-const BREAKS: u64 = 2_000;
+/// A connection that receives nothing for this long breaks, ms.
+const BREAK_TIMEOUT: u64 = 2_000;
 
-pub struct Board {
+pub struct MarkerNode {
     pub ip: Ipv4Addr,
     pub marker: Option<Marker>,
     disk: Option<Keeping>,
     servers: Vec<Instance>,
-    /// The gatekeepers that its disk names.
+    /// The gatekeepers listed on its disk.
     gatekeepers: Vec<String>,
     start: u32,
-    /// Sessions that stand here: whose, and when it was heard last.
+    /// Open sessions by number: the gatekeeper, and when something was last received from it.
     sessions: BTreeMap<u64, (usize, u64)>,
 }
 
-pub struct Column {
+pub struct GatekeeperNode {
     pub gate: Option<Gate>,
     start: u32,
-    /// Sessions by marker: number, and when the marker was heard last.
+    /// Sessions by marker: number, and when something was last received from the marker.
     sessions: BTreeMap<Ipv4Addr, (u64, u64)>,
     pinged: u64,
-    owed: f64,
-    /// What markers told of their contact, by this process.
-    pub told: BTreeMap<Ipv4Addr, bool>,
-    /// The state of each server as each session told it last.
-    listed: BTreeMap<Ipv4Addr, BTreeMap<String, State>>,
+    due_requests: f64,
+    /// What each marker reported about its quorum to this process.
+    pub reported_quorum: BTreeMap<Ipv4Addr, bool>,
+    /// The state of each server as last reported on each session.
+    reported_servers: BTreeMap<Ipv4Addr, BTreeMap<String, State>>,
 }
 
 enum Event {
@@ -79,51 +87,52 @@
 #[derive(Default)]
 struct Line {
     up: bool,
-    /// Counts its breaks: what was on its way is lost.
-    life: u64,
-    /// Since when nothing gets through, or it may come up.
+    /// Incremented when it breaks: messages in transit are lost.
+    incarnation: u64,
+    /// Since when nothing gets through; when it may be established.
     since: Option<u64>,
     due: Option<u64>,
 }
 
-struct Made {
+struct PendingCall {
     name: String,
     by: usize,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: u64,
-    pub boards: Vec<Board>,
-    pub columns: Vec<Column>,
+    pub markers: Vec<MarkerNode>,
+    pub gatekeepers: Vec<GatekeeperNode>,
     cuts: BTreeSet<(usize, usize)>,
     lines: BTreeMap<(usize, usize), Line>,
-    /// What waits on links that are cut, in its order.
-    stuck: Vec<(usize, usize, Event)>,
+    /// Messages that wait on links that are cut, in order.
+    queued: Vec<(usize, usize, Event)>,
     events: BTreeMap<(u64, u64), Event>,
     next: u64,
     pub load: f64,
-    pub ran: Vec<u64>,
-    /// Which gatekeeper let each of them in.
-    pub ran_by: Vec<usize>,
+    pub admitted: Vec<u64>,
+    /// The gatekeeper that admitted each of them.
+    pub admitted_by: Vec<usize>,
     pub refused: usize,
-    calls: BTreeMap<u64, Made>,
-    /// Answers that came: the call, the marker, what.
+    calls: BTreeMap<u64, PendingCall>,
+    /// Answers that were received: call, marker, reply.
     pub answers: Vec<(u64, usize, Reply)>,
     last: BTreeMap<String, Reply>,
-    /// Orders that are sent again until they are confirmed: the version, and when and where next.
+    /// Orders that are sent again until they are confirmed: version, and time and marker of the next attempt.
     orders: BTreeMap<u32, (u64, usize)>,
     confirmed: BTreeSet<u32>,
-    /// Who said that it is in contact, to whom, and which servers it had told as ready by then.
-    pub turned: Vec<(usize, usize, Vec<String>)>,
+    /// Reports of a quorum: the marker, the gatekeeper, and the servers that the marker had reported as ready
+    /// by then.
+    pub quorum_reports: Vec<(usize, usize, Vec<String>)>,
     sequence: u64,
-    /// Whether bytes are counted: what markers told gatekeepers and gatekeepers markers, and markers each other.
-    pub weighs: bool,
+    /// Whether to count bytes: from markers to gatekeepers and back, and between markers.
+    pub counts_bytes: bool,
     pub bytes: (usize, usize),
-    pub between: usize,
-    /// Servers that beat on their own.
+    pub bytes_between: usize,
+    /// Servers that send periodic heartbeats.
     beats: BTreeSet<String>,
-    /// Longest time until a line that broke is dialled again, ms; and whether servers are kept on disk.
-    pub redial: u64,
+    /// Maximum time until a broken line is dialled again, ms; and whether servers are kept on disk.
+    pub redial_max: u64,
     pub keeps_servers: bool,
     /// Whether a gatekeeper refuses requests until it has a configuration, as `Gate::admit` does.
     pub needs_configuration: bool,
@@ -153,7 +162,7 @@
     .into_bytes()
 }
 
-/// A beat of a server, whose address its name gives.
+/// A heartbeat of a server, whose address is derived from its name.
 pub fn beat(id: &str, state: &str, sequence: u64) -> Call {
     let last: u32 = id.trim_start_matches('s').parse().unwrap();
     let body = format!(
@@ -173,13 +182,13 @@
     }
 }
 
-impl World {
-    pub fn new(boards: usize, columns: usize) -> World {
-        World::drawn(boards, columns, 11)
+impl Simulation {
+    pub fn new(markers: usize, gatekeepers: usize) -> Simulation {
+        Simulation::with_seed(markers, gatekeepers, 11)
     }
 
-    pub fn drawn(boards: usize, columns: usize, seed: u64) -> World {
-        let board = |n: usize| Board {
+    pub fn with_seed(markers: usize, gatekeepers: usize, seed: u64) -> Simulation {
+        let marker_node = |n: usize| MarkerNode {
             ip: Ipv4Addr::new(10, 0, 0, 1 + n as u8),
             marker: None,
             disk: None,
@@ -188,62 +197,62 @@
             start: 0,
             sessions: BTreeMap::new(),
         };
-        let column = |_| Column {
+        let gatekeeper_node = |_| GatekeeperNode {
             gate: None,
             start: 0,
             sessions: BTreeMap::new(),
             pinged: 0,
-            owed: 0.0,
-            told: BTreeMap::new(),
-            listed: BTreeMap::new(),
+            due_requests: 0.0,
+            reported_quorum: BTreeMap::new(),
+            reported_servers: BTreeMap::new(),
         };
-        World {
+        Simulation {
             now: 0,
-            boards: (0..boards).map(board).collect(),
-            columns: (0..columns).map(column).collect(),
+            markers: (0..markers).map(marker_node).collect(),
+            gatekeepers: (0..gatekeepers).map(gatekeeper_node).collect(),
             cuts: BTreeSet::new(),
             lines: BTreeMap::new(),
-            stuck: Vec::new(),
+            queued: Vec::new(),
             events: BTreeMap::new(),
             next: 0,
             load: 0.0,
-            ran: Vec::new(),
-            ran_by: Vec::new(),
+            admitted: Vec::new(),
+            admitted_by: Vec::new(),
             refused: 0,
             calls: BTreeMap::new(),
             answers: Vec::new(),
             last: BTreeMap::new(),
             orders: BTreeMap::new(),
             confirmed: BTreeSet::new(),
-            turned: Vec::new(),
+            quorum_reports: Vec::new(),
             sequence: 0,
-            weighs: true,
+            counts_bytes: true,
             bytes: (0, 0),
-            between: 0,
+            bytes_between: 0,
             beats: BTreeSet::new(),
-            redial: 0,
+            redial_max: 0,
             keeps_servers: false,
             needs_configuration: false,
             rng: fastrand::Rng::with_seed(seed),
         }
     }
 
-    fn at(&mut self, after: u64, event: Event) {
+    fn schedule(&mut self, after: u64, event: Event) {
         self.next += 1;
         self.events.insert((self.now + after, self.next), event);
     }
 
     fn seeds(&self) -> Vec<Ipv4Addr> {
-        self.boards.iter().map(|b| b.ip).collect()
+        self.markers.iter().map(|b| b.ip).collect()
     }
 
-    fn board(&self, ip: Ipv4Addr) -> Option<usize> {
-        self.boards.iter().position(|b| b.ip == ip)
+    fn marker_at(&self, ip: Ipv4Addr) -> Option<usize> {
+        self.markers.iter().position(|b| b.ip == ip)
     }
 
-    /// The end of links that a gatekeeper is.
-    pub fn gate(&self, g: usize) -> usize {
-        self.boards.len() + g
+    /// The link endpoint of a gatekeeper.
+    pub fn endpoint(&self, g: usize) -> usize {
+        self.markers.len() + g
     }
 
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
@@ -254,214 +263,215 @@
         self.is_cut(a, b) || self.is_cut(b, a)
     }
 
-    /// The other markers that a marker is not cut from, either way.
+    /// The other markers from which a marker is not cut in either direction.
     pub fn others(&self, n: usize) -> Vec<usize> {
-        (0..self.boards.len()).filter(|m| *m != n && !self.is_apart(*m, n)).collect()
+        (0..self.markers.len()).filter(|m| *m != n && !self.is_apart(*m, n)).collect()
     }
 
-    /// Whether anything is cut between an end and any marker.
+    /// Whether anything is cut between an endpoint and any marker.
     pub fn is_cut_off(&self, n: usize) -> bool {
-        (0..self.boards.len()).any(|m| self.is_apart(n, m))
+        (0..self.markers.len()).any(|m| self.is_apart(n, m))
     }
 
     pub fn cut(&mut self, from: usize, to: usize) {
         self.cuts.insert((from, to));
     }
 
-    /// Ends all cuts that are meant; what waited comes.
-    pub fn join(&mut self, meant: impl Fn(usize, usize) -> bool) {
-        self.cuts.retain(|(from, to)| !meant(*from, *to));
+    /// Ends all cuts that match; queued messages are delivered.
+    pub fn join(&mut self, matches: impl Fn(usize, usize) -> bool) {
+        self.cuts.retain(|(from, to)| !matches(*from, *to));
         let (stays, comes): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.stuck).into_iter().partition(|(from, to, _)| self.is_cut(*from, *to));
-        self.stuck = stays;
+            std::mem::take(&mut self.queued).into_iter().partition(|(from, to, _)| self.is_cut(*from, *to));
+        self.queued = stays;
         for (.., event) in comes {
             self.handle(event);
         }
     }
 
     pub fn act(&mut self, n: usize, what: &str) {
-        let (boards, all) = (self.boards.len(), self.boards.len() + self.columns.len());
+        let (markers, all) = (self.markers.len(), self.markers.len() + self.gatekeepers.len());
         let words: Vec<&str> = what.split_whitespace().collect();
-        match (n.checked_sub(boards), &words[..]) {
+        match (n.checked_sub(markers), &words[..]) {
             (_, []) => {}
             (None, ["up"]) => {
                 let seeds = self.seeds();
-                let (board, seed) = (&mut self.boards[n], self.rng.u64(..));
-                let keeping = board.disk.clone().unwrap_or_else(|| begin(board.ip, &seeds, true, seed));
-                let core = Core::new(keeping, &seeds, (boards - 1) / 2, seed, self.now);
-                let marker = Marker::new(core, format!("zone-{n}"), 1_500, board.servers.clone());
-                board.marker = Some(marker.remembering(board.gatekeepers.clone(), 5_000));
-                board.start += 1;
-                // What stood to its former life is reset.
+                let (node, seed) = (&mut self.markers[n], self.rng.u64(..));
+                let keeping = node.disk.clone().unwrap_or_else(|| begin(node.ip, &seeds, true, seed));
+                let core = Core::new(keeping, &seeds, (markers - 1) / 2, seed, self.now);
+                let marker = Marker::new(core, format!("zone-{n}"), 1_500, node.servers.clone());
+                node.marker = Some(marker.remembering(node.gatekeepers.clone(), 5_000));
+                node.start += 1;
+                // Connections to its previous incarnation are reset.
                 for other in self.others(n) {
                     self.break_line(other, n);
                 }
-                if self.redial == 0 {
-                    self.mend();
+                if self.redial_max == 0 {
+                    self.update_lines();
                 }
             }
             (None, ["kill" | "power"]) => {
-                let sessions = std::mem::take(&mut self.boards[n].sessions);
-                (self.boards[n].marker, self.boards[n].start) = (None, self.boards[n].start + 1);
-                for other in (0..boards).filter(|other| *other != n) {
+                let sessions = std::mem::take(&mut self.markers[n].sessions);
+                (self.markers[n].marker, self.markers[n].start) = (None, self.markers[n].start + 1);
+                for other in (0..markers).filter(|other| *other != n) {
                     self.break_line(n, other);
                     if what == "kill" && !self.is_apart(n, other) {
                         self.break_line(other, n);
                     }
                 }
                 for g in sessions.into_values().map(|(g, _)| g).filter(|_| what == "kill") {
-                    if !self.is_cut(n, self.gate(g)) {
-                        self.hang_up(g, n);
+                    if !self.is_cut(n, self.endpoint(g)) {
+                        self.close_at_gatekeeper(g, n);
                     }
                 }
             }
-            (None, ["cut"]) => (0..boards).filter(|m| *m != n).for_each(|m| {
+            (None, ["cut"]) => (0..markers).filter(|m| *m != n).for_each(|m| {
                 self.cuts.extend([(n, m), (m, n)]);
             }),
-            (None, ["deaf"]) => (0..boards).filter(|m| *m != n).for_each(|m| self.cut(m, n)),
-            (None, ["mute"]) => (0..boards).filter(|m| *m != n).for_each(|m| self.cut(n, m)),
+            (None, ["deaf"]) => (0..markers).filter(|m| *m != n).for_each(|m| self.cut(m, n)),
+            (None, ["mute"]) => (0..markers).filter(|m| *m != n).for_each(|m| self.cut(n, m)),
             (None, ["alone"]) => (0..all).filter(|m| *m != n).for_each(|m| {
                 self.cuts.extend([(n, m), (m, n)]);
             }),
-            (None, ["cut", "gates"]) => (boards..all).for_each(|g| self.cuts.extend([(n, g), (g, n)])),
+            (None, ["cut", "gates"]) => (markers..all).for_each(|g| self.cuts.extend([(n, g), (g, n)])),
             (None, ["cut", "servers"]) => self.cuts.extend([(n, SERVERS), (SERVERS, n)]),
             (None, ["cut", "operators"]) => self.cuts.extend([(n, OPERATORS), (OPERATORS, n)]),
             (None, ["join", m]) => {
-                let m = self.number(m);
+                let m = self.index(m);
                 self.join(|from, to| from == n && to == m || from == m && to == n);
-                self.mend();
+                self.update_lines();
             }
             (None, ["back"]) => {
-                // Its own lines stand: nothing is told anew over them.
-                for m in (0..boards).filter(|m| *m != n) {
+                // Its own lines stay up, so nothing is sent again over them.
+                for m in (0..markers).filter(|m| *m != n) {
                     (self.lines.entry((n, m)).or_default()).up = true;
                 }
                 self.join(|from, to| from == n || to == n);
-                self.mend();
+                self.update_lines();
             }
             (_, ["join"]) => {
                 self.join(|from, to| from == n || to == n);
-                if n < boards && self.redial == 0 {
-                    // Lines that did not break yet do so now, so that each such moment begins alike.
+                if n < markers && self.redial_max == 0 {
+                    // Lines that haven't broken yet break now, so that each such moment begins in the same
+                    // state.
                     for m in self.others(n) {
                         self.break_line(n, m);
                         self.break_line(m, n);
                     }
-                    self.mend();
+                    self.update_lines();
                 }
             }
             (Some(g), ["up"]) => {
                 let (seeds, seed) = (self.seeds(), self.rng.u64(..));
-                let zone = format!("zone-{}", g % boards);
+                let zone = format!("zone-{}", g % markers);
                 let control = Control::new(&format!("g{g}"), &zone, seeds, seed);
-                let column = &mut self.columns[g];
-                column.gate = Some(Gate::new(control, &zone, &bounds(), seed));
-                column.start += 1;
-                column.told.clear();
+                let node = &mut self.gatekeepers[g];
+                node.gate = Some(Gate::new(control, &zone, &bounds(), seed));
+                node.start += 1;
+                node.reported_quorum.clear();
             }
             (Some(g), ["kill" | "power"]) => {
-                (self.columns[g].gate, self.columns[g].start) = (None, self.columns[g].start + 1);
-                for (ip, (id, _)) in std::mem::take(&mut self.columns[g].sessions) {
-                    let m = self.board(ip).unwrap();
+                (self.gatekeepers[g].gate, self.gatekeepers[g].start) = (None, self.gatekeepers[g].start + 1);
+                for (ip, (id, _)) in std::mem::take(&mut self.gatekeepers[g].sessions) {
+                    let m = self.marker_at(ip).unwrap();
                     if what == "kill" && !self.is_cut(n, m) {
-                        self.closed(m, id, true);
+                        self.close_at_marker(m, id, true);
                     }
                 }
             }
             (Some(g), ["end"]) => {
-                let words = self.columns[g].sessions.keys().map(|ip| (*ip, Up::Leave)).collect();
-                self.say(g, words);
+                let words = self.gatekeepers[g].sessions.keys().map(|ip| (*ip, Up::Leave)).collect();
+                self.send(g, words);
             }
-            (Some(_), ["cut"]) => (0..boards).for_each(|m| self.cuts.extend([(n, m), (m, n)])),
+            (Some(_), ["cut"]) => (0..markers).for_each(|m| self.cuts.extend([(n, m), (m, n)])),
             (Some(_), ["cut", m]) => {
-                let m = self.number(m);
+                let m = self.index(m);
                 self.cuts.extend([(n, m), (m, n)]);
             }
-            _ => panic!("what is {what}?"),
+            _ => panic!("unknown cell: {what}"),
         }
     }
 
-    /// The place of a marker or gatekeeper of this name among its like.
-    fn number(&self, name: &str) -> usize {
+    /// The index of a marker or gatekeeper from its name.
+    fn index(&self, name: &str) -> usize {
         let n: usize = name[1..].parse().unwrap();
         n - 1
     }
 
-    /// A session ends on the marker's side.
-    fn closed(&mut self, m: usize, id: u64, closed: bool) {
-        if self.boards[m].sessions.remove(&id).is_some() {
+    /// Closes a session on the marker's side.
+    fn close_at_marker(&mut self, m: usize, id: u64, closed: bool) {
+        if self.markers[m].sessions.remove(&id).is_some() {
             self.step(m, |marker, now, out| marker.on_closed(now, id, closed, out));
         }
     }
 
-    /// A gatekeeper's session ends on its side.
-    fn hang_up(&mut self, g: usize, m: usize) {
-        let ip = self.boards[m].ip;
-        let Some((id, _)) = self.columns[g].sessions.remove(&ip) else { return };
-        self.columns[g].told.remove(&ip);
-        let say = self.columns[g].gate.as_mut().map(|gate| gate.control.close(ip));
-        if !self.is_cut(self.gate(g), m) {
-            self.closed(m, id, true);
+    /// Closes a session on the gatekeeper's side.
+    fn close_at_gatekeeper(&mut self, g: usize, m: usize) {
+        let ip = self.markers[m].ip;
+        let Some((id, _)) = self.gatekeepers[g].sessions.remove(&ip) else { return };
+        self.gatekeepers[g].reported_quorum.remove(&ip);
+        let messages = self.gatekeepers[g].gate.as_mut().map(|gate| gate.control.close(ip));
+        if !self.is_cut(self.endpoint(g), m) {
+            self.close_at_marker(m, id, true);
         }
-        self.say(g, say.into_iter().flatten().collect());
+        self.send(g, messages.into_iter().flatten().collect());
     }
 
-    fn say(&mut self, g: usize, words: Vec<(Ipv4Addr, Up)>) {
-        for (ip, word) in words {
-            let Some(m) = self.board(ip) else { continue };
-            let Some((id, _)) = self.columns[g].sessions.get(&ip).copied() else { continue };
-            if self.weighs {
-                self.bytes.1 += granitelead_control_protocol::frames::write(&Word::Up(word.clone())).len();
+    fn send(&mut self, g: usize, words: Vec<(Ipv4Addr, Up)>) {
+        for (ip, message) in words {
+            let Some(m) = self.marker_at(ip) else { continue };
+            let Some((id, _)) = self.gatekeepers[g].sessions.get(&ip).copied() else { continue };
+            if self.counts_bytes {
+                self.bytes.1 += granitelead_control_protocol::frames::write(&Word::Up(message.clone())).len();
             }
-            let start = self.boards[m].start;
-            self.at(1, Event::Up(g, m, start, id, word));
+            let start = self.markers[m].start;
+            self.schedule(1, Event::Up(g, m, start, id, message));
         }
     }
 
     fn step(&mut self, n: usize, take: impl FnOnce(&mut Marker, u64, &mut Vec<Output>)) {
         let mut out = Vec::new();
-        let Some(marker) = self.boards[n].marker.as_mut() else { return };
+        let Some(marker) = self.markers[n].marker.as_mut() else { return };
         take(marker, self.now, &mut out);
-        let (me, start) = (marker.me(), self.boards[n].start);
+        let (me, start) = (marker.me(), self.markers[n].start);
         for output in out {
             match output {
-                Output::Send(to, word) => {
-                    if self.weighs {
-                        self.between +=
-                            granitelead_control_protocol::frames::write(&Word::Between(me, word.clone()))
+                Output::Send(to, message) => {
+                    if self.counts_bytes {
+                        self.bytes_between +=
+                            granitelead_control_protocol::frames::write(&Word::Between(me, message.clone()))
                                 .len();
                     }
-                    let Some(to) = self.board(to) else { continue };
+                    let Some(to) = self.marker_at(to) else { continue };
                     let line = self.lines.entry((n, to)).or_default();
                     if line.up {
-                        let life = line.life;
-                        self.at(1, Event::Between(n, to, life, me, word));
+                        let incarnation = line.incarnation;
+                        self.schedule(1, Event::Between(n, to, incarnation, me, message));
                     }
                 }
-                Output::Tell(id, word) => {
-                    if self.weighs {
+                Output::Tell(id, message) => {
+                    if self.counts_bytes {
                         self.bytes.0 +=
-                            granitelead_control_protocol::frames::write(&Word::Down(word.clone())).len();
+                            granitelead_control_protocol::frames::write(&Word::Down(message.clone())).len();
                     }
-                    if let Some((g, _)) = self.boards[n].sessions.get(&id).copied() {
-                        let start = self.columns[g].start;
-                        self.at(1, Event::Down(n, g, start, id, word));
+                    if let Some((g, _)) = self.markers[n].sessions.get(&id).copied() {
+                        let start = self.gatekeepers[g].start;
+                        self.schedule(1, Event::Down(n, g, start, id, message));
                     }
                 }
-                Output::Write(ticket, keeping) => self.at(5, Event::Written(n, start, ticket, keeping)),
+                Output::Write(ticket, keeping) => self.schedule(5, Event::Written(n, start, ticket, keeping)),
                 Output::Answer(id, reply) => {
-                    let reaches = self.calls.get(&id).is_some_and(|made| !self.is_cut(n, made.by));
-                    if let Some(made) = reaches.then(|| self.calls.remove(&id)).flatten() {
-                        self.last.insert(made.name, reply.clone());
+                    let reaches = self.calls.get(&id).is_some_and(|pending| !self.is_cut(n, pending.by));
+                    if let Some(pending) = reaches.then(|| self.calls.remove(&id)).flatten() {
+                        self.last.insert(pending.name, reply.clone());
                         self.answers.push((id, n, reply));
                     }
                 }
                 Output::Servers(servers) => {
                     if self.keeps_servers {
-                        self.boards[n].servers = servers;
+                        self.markers[n].servers = servers;
                     }
                 }
-                Output::Gatekeepers(names) => self.boards[n].gatekeepers = names,
+                Output::Gatekeepers(names) => self.markers[n].gatekeepers = names,
                 Output::End(_) | Output::Sure(_) => {}
             }
         }
@@ -471,111 +481,115 @@
         let (from, to) = match &event {
             Event::Between(from, to, ..) => (*from, *to),
             Event::Written(n, ..) => (*n, *n),
-            Event::Up(g, m, ..) => (self.gate(*g), *m),
-            Event::Down(m, g, ..) => (*m, self.gate(*g)),
+            Event::Up(g, m, ..) => (self.endpoint(*g), *m),
+            Event::Down(m, g, ..) => (*m, self.endpoint(*g)),
         };
         if self.is_cut(from, to) {
-            return self.stuck.push((from, to, event));
+            return self.queued.push((from, to, event));
         }
         match event {
-            Event::Between(from, to, life, node, word) => {
+            Event::Between(from, to, incarnation, node, message) => {
                 let line = self.lines.entry((from, to)).or_default();
-                if line.up && line.life == life {
-                    self.step(to, |marker, now, out| marker.on_word(now, node, word, out));
+                if line.up && line.incarnation == incarnation {
+                    self.step(to, |marker, now, out| marker.on_word(now, node, message, out));
                 }
             }
-            Event::Written(n, start, ticket, keeping) if self.boards[n].start == start => {
-                self.boards[n].disk = Some(keeping);
+            Event::Written(n, start, ticket, keeping) if self.markers[n].start == start => {
+                self.markers[n].disk = Some(keeping);
                 self.step(n, |marker, now, out| marker.on_written(now, ticket, out));
             }
-            Event::Up(g, m, start, id, word) if self.boards[m].start == start => {
-                let (now, opens) = (self.now, matches!(word, Up::Hello { .. }));
+            Event::Up(g, m, start, id, message) if self.markers[m].start == start => {
+                let (now, opens) = (self.now, matches!(message, Up::Hello { .. }));
                 if opens {
-                    self.boards[m].sessions.insert(id, (g, now));
+                    self.markers[m].sessions.insert(id, (g, now));
                 }
-                if let Some(session) = self.boards[m].sessions.get_mut(&id) {
+                if let Some(session) = self.markers[m].sessions.get_mut(&id) {
                     session.1 = now;
-                    self.step(m, |marker, now, out| marker.on_up(now, id, word, out));
+                    self.step(m, |marker, now, out| marker.on_up(now, id, message, out));
                 }
             }
-            Event::Down(m, g, start, id, word) if self.columns[g].start == start => {
-                let (now, ip) = (self.now, self.boards[m].ip);
-                let column = &mut self.columns[g];
-                let Some(session) = column.sessions.get_mut(&ip).filter(|s| s.0 == id) else { return };
+            Event::Down(m, g, start, id, message) if self.gatekeepers[g].start == start => {
+                let (now, ip) = (self.now, self.markers[m].ip);
+                let node = &mut self.gatekeepers[g];
+                let Some(session) = node.sessions.get_mut(&ip).filter(|s| s.0 == id) else { return };
                 session.1 = now;
-                match &word {
-                    Down::News(1, _) => drop(column.listed.remove(&ip)),
+                match &message {
+                    Down::News(1, _) => drop(node.reported_servers.remove(&ip)),
                     Down::News(_, News::Contact(contact)) => {
-                        column.told.insert(ip, *contact);
+                        node.reported_quorum.insert(ip, *contact);
                         if *contact {
-                            let ready = column.listed.get(&ip).into_iter().flatten();
+                            let ready = node.reported_servers.get(&ip).into_iter().flatten();
                             let ready = ready.filter(|(_, state)| **state == State::Ready);
-                            self.turned.push((m, g, ready.map(|(id, _)| id.clone()).collect()));
+                            self.quorum_reports.push((m, g, ready.map(|(id, _)| id.clone()).collect()));
                         }
                     }
                     _ => {}
                 }
-                if let Down::News(_, News::Servers(servers)) = &word {
-                    let listed = column.listed.entry(ip).or_default();
-                    listed.extend(servers.iter().map(|server| (server.id.clone(), server.state)));
+                if let Down::News(_, News::Servers(servers)) = &message {
+                    let reported_servers = node.reported_servers.entry(ip).or_default();
+                    reported_servers.extend(servers.iter().map(|server| (server.id.clone(), server.state)));
                 }
-                let Some(gate) = column.gate.as_mut() else { return };
-                let say = gate.on_down(now, ip, word);
-                self.say(g, say);
+                let Some(gate) = node.gate.as_mut() else { return };
+                let messages = gate.on_message(now, ip, message);
+                self.send(g, messages);
             }
             _ => {}
         }
     }
 
-    /// What a gatekeeper does of itself.
+    /// The periodic work of a gatekeeper.
     fn tick(&mut self, g: usize) {
         let now = self.now;
-        let deaf: Vec<Ipv4Addr> =
-            self.columns[g].sessions.iter().filter(|(_, s)| now > s.1 + 1_800).map(|(ip, _)| *ip).collect();
-        for ip in deaf {
-            self.hang_up(g, self.board(ip).unwrap());
+        let silent: Vec<Ipv4Addr> = self.gatekeepers[g]
+            .sessions
+            .iter()
+            .filter(|(_, s)| now > s.1 + 1_800)
+            .map(|(ip, _)| *ip)
+            .collect();
+        for ip in silent {
+            self.close_at_gatekeeper(g, self.marker_at(ip).unwrap());
         }
-        let Some(gate) = self.columns[g].gate.as_mut() else { return };
-        let batch = gate.on_batch(now);
+        let Some(gate) = self.gatekeepers[g].gate.as_mut() else { return };
+        let batch = gate.on_tick(now);
         let (surplus, wanted) = (gate.control.surplus(), gate.control.wanted(&BTreeSet::new()));
-        self.say(g, batch);
-        if let Some(m) = surplus.and_then(|ip| self.board(ip)) {
-            self.hang_up(g, m);
+        self.send(g, batch);
+        if let Some(m) = surplus.and_then(|ip| self.marker_at(ip)) {
+            self.close_at_gatekeeper(g, m);
         }
-        let me = self.gate(g);
-        let there = |m: &usize| self.boards[*m].marker.is_some() && !self.is_apart(me, *m);
-        if let Some(m) = wanted.and_then(|ip| self.board(ip)).filter(there) {
+        let me = self.endpoint(g);
+        let is_reachable = |m: &usize| self.markers[*m].marker.is_some() && !self.is_apart(me, *m);
+        if let Some(m) = wanted.and_then(|ip| self.marker_at(ip)).filter(is_reachable) {
             self.next += 1;
-            let (id, ip) = (self.next, self.boards[m].ip);
-            let Some(gate) = self.columns[g].gate.as_mut() else { return };
+            let (id, ip) = (self.next, self.markers[m].ip);
+            let Some(gate) = self.gatekeepers[g].gate.as_mut() else { return };
             let (has, servers) = (gate.revision(), gate.servers.all());
             let hello = gate.control.open(now, ip, has, servers);
-            self.columns[g].sessions.insert(ip, (id, now));
-            self.say(g, vec![(ip, hello)]);
+            self.gatekeepers[g].sessions.insert(ip, (id, now));
+            self.send(g, vec![(ip, hello)]);
         }
-        if now >= self.columns[g].pinged + 150 {
-            self.columns[g].pinged = now;
-            let all: Vec<Ipv4Addr> = self.columns[g].sessions.keys().copied().collect();
-            self.say(g, all.into_iter().map(|ip| (ip, Up::Ping)).collect());
+        if now >= self.gatekeepers[g].pinged + 150 {
+            self.gatekeepers[g].pinged = now;
+            let all: Vec<Ipv4Addr> = self.gatekeepers[g].sessions.keys().copied().collect();
+            self.send(g, all.into_iter().map(|ip| (ip, Up::Ping)).collect());
         }
     }
 
     fn requests(&mut self, g: usize) {
         let now = self.now;
-        let column = &mut self.columns[g];
-        let Some(gate) = column.gate.as_mut() else { return };
-        column.owed += self.load * 0.005;
+        let node = &mut self.gatekeepers[g];
+        let Some(gate) = node.gate.as_mut() else { return };
+        node.due_requests += self.load * 0.005;
         let tenant = Tenant { name: "t".into(), priority: None, rate: RATE, burst: RATE };
-        while column.owed >= 1.0 {
-            column.owed -= 1.0;
+        while node.due_requests >= 1.0 {
+            node.due_requests -= 1.0;
             if self.needs_configuration && gate.configuration.is_none() {
                 self.refused += 1;
                 continue;
             }
-            if gate.tenants.beyond(now, &tenant).is_none() {
+            if gate.tenants.rate_limit(now, &tenant).is_none() {
                 gate.control.add("t");
-                self.ran.push(now);
-                self.ran_by.push(g);
+                self.admitted.push(now);
+                self.admitted_by.push(g);
             } else {
                 self.refused += 1;
             }
@@ -586,27 +600,27 @@
         let line = self.lines.entry((from, to)).or_default();
         (line.since, line.due) = (None, None);
         if std::mem::take(&mut line.up) {
-            line.life += 1;
-            let ip = self.boards[to].ip;
+            line.incarnation += 1;
+            let ip = self.markers[to].ip;
             self.step(from, |marker, now, out| marker.on_line(now, ip, false, out));
         }
     }
 
-    /// Breaks lines over which nothing gets through, and lets come up those that can.
-    fn mend(&mut self) {
-        let boards = self.boards.len();
-        for (from, to) in (0..boards).flat_map(|from| (0..boards).map(move |to| (from, to))) {
-            if from == to || self.boards[from].marker.is_none() {
+    /// Breaks lines over which nothing gets through, and establishes those that can be.
+    fn update_lines(&mut self) {
+        let markers = self.markers.len();
+        for (from, to) in (0..markers).flat_map(|from| (0..markers).map(move |to| (from, to))) {
+            if from == to || self.markers[from].marker.is_none() {
                 continue;
             }
-            let (now, ip) = (self.now, self.boards[to].ip);
-            let through = self.boards[to].marker.is_some() && !self.is_apart(from, to);
-            let wait = if self.redial == 0 { 0 } else { self.rng.u64(1..=self.redial) };
+            let (now, ip) = (self.now, self.markers[to].ip);
+            let is_reachable = self.markers[to].marker.is_some() && !self.is_apart(from, to);
+            let wait = if self.redial_max == 0 { 0 } else { self.rng.u64(1..=self.redial_max) };
             let line = self.lines.entry((from, to)).or_default();
-            match (line.up, through) {
+            match (line.up, is_reachable) {
                 (true, true) | (false, false) => (line.since, line.due) = (None, None),
                 (true, false) => {
-                    if now >= *line.since.get_or_insert(now) + BREAKS {
+                    if now >= *line.since.get_or_insert(now) + BREAK_TIMEOUT {
                         self.break_line(from, to);
                     }
                 }
@@ -618,29 +632,30 @@
                 }
             }
         }
-        for m in 0..boards {
-            let silent = self.boards[m].sessions.iter().filter(|(_, (_, heard))| self.now > heard + BREAKS);
+        for m in 0..markers {
+            let silent =
+                self.markers[m].sessions.iter().filter(|(_, (_, heard))| self.now > heard + BREAK_TIMEOUT);
             let silent: Vec<(u64, usize)> = silent.map(|(id, (g, _))| (*id, *g)).collect();
             for (id, g) in silent {
-                self.closed(m, id, false);
-                let ip = self.boards[m].ip;
-                let same = self.columns[g].sessions.get(&ip).is_some_and(|s| s.0 == id);
-                if same && !self.is_cut(m, self.gate(g)) {
-                    self.hang_up(g, m);
+                self.close_at_marker(m, id, false);
+                let ip = self.markers[m].ip;
+                let same = self.gatekeepers[g].sessions.get(&ip).is_some_and(|s| s.0 == id);
+                if same && !self.is_cut(m, self.endpoint(g)) {
+                    self.close_at_gatekeeper(g, m);
                 }
             }
         }
     }
 
-    /// How things are, as a marker says.
+    /// The status that a marker reports.
     pub fn status(&mut self, name: &str) -> Value {
-        let n = self.number(name);
+        let n = self.index(name);
         let (now, mut out) = (self.now, Vec::new());
-        self.boards[n].marker.as_mut().unwrap().on_call(now, 0, Call::Status, &mut out);
+        self.markers[n].marker.as_mut().unwrap().on_call(now, 0, Call::Status, &mut out);
         let answer = |output: &Output| matches!(output, Output::Answer(0, _));
         let text = match out.iter().position(answer).map(|at| out.remove(at)) {
             Some(Output::Answer(_, Reply::Json(text))) => text,
-            _ => panic!("no status"),
+            _ => panic!("no status was returned"),
         };
         serde_json::from_str(&text).unwrap()
     }
@@ -655,16 +670,16 @@
                 self.handle(event);
             }
             if self.now.is_multiple_of(25) {
-                self.mend();
-                (0..self.boards.len())
+                self.update_lines();
+                (0..self.markers.len())
                     .for_each(|n| self.step(n, |marker, now, out| marker.on_tick(now, out)));
-                self.send_again();
+                self.retry_orders();
             }
             if self.now.is_multiple_of(1_500) {
                 let beats: Vec<String> = self.beats.iter().cloned().collect();
                 beats.iter().for_each(|id| self.beat(id, "ready", None));
             }
-            for g in 0..self.columns.len() {
+            for g in 0..self.gatekeepers.len() {
                 if self.now % 50 == g as u64 % 50 {
                     self.tick(g);
                 }
@@ -676,33 +691,33 @@
         }
     }
 
-    /// Makes a call at a marker, if it gets there. Gives its number.
+    /// Makes a call at a marker, if it is reachable. Returns the call's number.
     pub fn call_at(&mut self, n: usize, name: &str, call: Call) -> u64 {
         self.next += 1;
         let id = self.next;
         let by = if name.starts_with('s') { SERVERS } else { OPERATORS };
         self.last.remove(name);
-        self.calls.insert(id, Made { name: name.to_owned(), by });
+        self.calls.insert(id, PendingCall { name: name.to_owned(), by });
         if !self.is_cut(by, n) {
             self.step(n, |marker, now, out| marker.on_call(now, id, call, out));
         }
         id
     }
 
-    /// Whether a call still waits for its answer.
+    /// Whether a call is still pending.
     pub fn waits(&self, id: u64) -> bool {
         self.calls.contains_key(&id)
     }
 
-    /// The caller has waited for long enough.
+    /// The caller gives up on a call.
     pub fn forget(&mut self, id: u64) {
         self.calls.remove(&id);
     }
 
     fn call(&mut self, name: &str, call: Call, at: Option<&str>) {
         let n = match at {
-            Some(at) => self.number(at),
-            None => self.boards.iter().position(|b| b.marker.is_some()).unwrap(),
+            Some(at) => self.index(at),
+            None => self.markers.iter().position(|b| b.marker.is_some()).unwrap(),
         };
         self.call_at(n, name, call);
     }
@@ -713,9 +728,9 @@
         self.call(id, call, at);
     }
 
-    /// What operators do: each order is sent again, to another marker or to where it is sent on.
-    fn send_again(&mut self) {
-        let boards = self.boards.len();
+    /// Retries of operators: each order is sent again, to another marker or to where it is redirected.
+    fn retry_orders(&mut self) {
+        let markers = self.markers.len();
         for (version, (at, n)) in self.orders.clone() {
             let name = format!("order {version}");
             let (again, next) = match self.last.remove(&name) {
@@ -724,12 +739,12 @@
                     self.confirmed.insert(version);
                     continue;
                 }
-                Some(Reply::Elsewhere(ip)) => (true, self.board(ip).unwrap()),
+                Some(Reply::Elsewhere(ip)) => (true, self.marker_at(ip).unwrap()),
                 Some(reply) => {
                     assert_eq!(status(&reply), 503, "order {version} is refused at {}", self.now);
-                    (true, (n + 1) % boards)
+                    (true, (n + 1) % markers)
                 }
-                None => (self.now >= at, (n + 1) % boards),
+                None => (self.now >= at, (n + 1) % markers),
             };
             if again {
                 self.orders.insert(version, (self.now + 1_000, next));
@@ -740,15 +755,18 @@
 
     /// Gatekeepers that are up and not cut from any marker.
     pub fn reached(&self) -> Vec<&Gate> {
-        let reached = |g: &usize| !self.is_cut_off(self.gate(*g));
-        (0..self.columns.len()).filter(reached).filter_map(|g| self.columns[g].gate.as_ref()).collect()
+        let reached = |g: &usize| !self.is_cut_off(self.endpoint(*g));
+        (0..self.gatekeepers.len())
+            .filter(reached)
+            .filter_map(|g| self.gatekeepers[g].gate.as_ref())
+            .collect()
     }
 
-    fn named(&self, name: &str) -> &Gate {
-        self.columns[self.number(name)].gate.as_ref().unwrap()
+    fn gate_named(&self, name: &str) -> &Gate {
+        self.gatekeepers[self.index(name)].gate.as_ref().unwrap()
     }
 
-    pub fn happen(&mut self, words: &[&str]) {
+    pub fn execute(&mut self, words: &[&str]) {
         let now = self.now;
         match words {
             [] => {}
@@ -758,8 +776,8 @@
             }
             ["read", at @ ..] => self.call("read", Call::Read, at.first().copied()),
             ["order", version] => {
-                self.orders.insert(version.parse().unwrap(), (now, self.boards.len() - 1));
-                self.send_again();
+                self.orders.insert(version.parse().unwrap(), (now, self.markers.len() - 1));
+                self.retry_orders();
             }
             ["confirmed", version] => {
                 assert!(self.confirmed.contains(&version.parse().unwrap()), "order {version} at {now}")
@@ -775,9 +793,9 @@
                 assert_eq!(servers, Some(n.parse().unwrap()), "{name} at {now}");
             }
             ["reaper", name] => {
-                let ip = self.boards[self.number(name)].ip.to_string();
-                for n in 0..self.boards.len() {
-                    if self.boards[n].marker.is_none() || self.is_cut_off(n) {
+                let ip = self.markers[self.index(name)].ip.to_string();
+                for n in 0..self.markers.len() {
+                    if self.markers[n].marker.is_none() || self.is_cut_off(n) {
                         continue;
                     }
                     let duties = self.status(&format!("m{}", n + 1))["duties"].clone();
@@ -801,21 +819,23 @@
                 }
             }
             ["touch"] => {
-                assert!(self.reached().iter().all(|gate| gate.control.in_touch(now)), "at {now}")
+                assert!(self.reached().iter().all(|gate| gate.control.in_sync(now)), "at {now}")
             }
             ["unready"] => {
-                assert!(self.columns.iter().filter_map(|c| c.gate.as_ref()).all(|g| !g.is_ready()))
+                assert!(self.gatekeepers.iter().filter_map(|c| c.gate.as_ref()).all(|g| !g.is_ready()))
             }
             ["know", n] => {
                 for gate in self.reached() {
                     assert_eq!(gate.servers.ready("s"), n.parse::<usize>().unwrap(), "at {now}");
                 }
             }
-            ["answered", name] => assert!(!self.calls.values().any(|made| made.name == *name), "at {now}"),
-            ["waits", name] => assert!(self.calls.values().any(|made| made.name == *name), "at {now}"),
+            ["answered", name] => {
+                assert!(!self.calls.values().any(|pending| pending.name == *name), "at {now}")
+            }
+            ["waits", name] => assert!(self.calls.values().any(|pending| pending.name == *name), "at {now}"),
             ["says", name, code] => {
-                let said = self.last.get(*name).map(status);
-                assert_eq!(said, Some(code.parse().unwrap()), "{name} at {now}");
+                let code_returned = self.last.get(*name).map(status);
+                assert_eq!(code_returned, Some(code.parse().unwrap()), "{name} at {now}");
             }
             ["reads", version] => {
                 let read = match self.last.get("read") {
@@ -829,8 +849,8 @@
                 assert_eq!(contact, Some(*yes == "yes"), "{name} at {now}");
             }
             ["tells", name, to, yes] => {
-                let ip = self.boards[self.number(name)].ip;
-                let told = self.columns[self.number(to)].told.get(&ip);
+                let ip = self.markers[self.index(name)].ip;
+                let told = self.gatekeepers[self.index(to)].reported_quorum.get(&ip);
                 assert_eq!(told, Some(&(*yes == "yes")), "{name} to {to} at {now}");
             }
             ["version", name, version] => {
@@ -838,37 +858,40 @@
                 assert_eq!(self.status(name)["version"], format!("{version:08x}"), "{name} at {now}");
             }
             ["sessions", n, all] => {
-                for column in &self.columns {
-                    let near = column.told.values().filter(|contact| **contact).count();
-                    let has = (near, column.sessions.len());
+                for node in &self.gatekeepers {
+                    let with_quorum = node.reported_quorum.values().filter(|contact| **contact).count();
+                    let has = (with_quorum, node.sessions.len());
                     let max: usize = all.parse().unwrap();
-                    assert!(near == n.parse::<usize>().unwrap() && has.1 <= max, "at {now}: {has:?}");
+                    assert!(with_quorum == n.parse::<usize>().unwrap() && has.1 <= max, "at {now}: {has:?}");
                 }
             }
-            ["ready", name] => assert!(self.named(name).is_ready(), "{name} at {now}"),
-            ["unready", name] => assert!(!self.named(name).is_ready(), "{name} at {now}"),
+            ["ready", name] => assert!(self.gate_named(name).is_ready(), "{name} at {now}"),
+            ["unready", name] => assert!(!self.gate_named(name).is_ready(), "{name} at {now}"),
             ["holds", name, version] => {
-                let has = self.named(name).configuration.as_ref().map(|c| c.version);
+                let has = self.gate_named(name).configuration.as_ref().map(|c| c.version);
                 assert_eq!(has, version.parse().ok(), "{name} at {now}");
             }
             ["home", name, of] => {
-                let home = self.named(name).control.home().and_then(|ip| self.board(ip));
+                let attached = self.gate_named(name).control.home().and_then(|ip| self.marker_at(ip));
                 if let Some(not) = of.strip_prefix('!') {
-                    assert!(home.is_some() && home != Some(self.number(not)), "{name} at {now}: {home:?}");
+                    assert!(
+                        attached.is_some() && attached != Some(self.index(not)),
+                        "{name} at {now}: {attached:?}"
+                    );
                 } else {
-                    let of = (*of != "-").then(|| self.number(of));
-                    assert_eq!(home, of, "{name} at {now}");
+                    let of = (*of != "-").then(|| self.index(of));
+                    assert_eq!(attached, of, "{name} at {now}");
                 }
             }
-            _ => panic!("what is {words:?}?"),
+            _ => panic!("unknown cell: {words:?}"),
         }
     }
 
-    /// The most that ran in five seconds.
-    pub fn most(&self) -> usize {
+    /// The maximum number of requests admitted within five seconds.
+    pub fn max_in_window(&self) -> usize {
         let (mut most, mut begin) = (0, 0);
-        for end in 0..self.ran.len() {
-            while self.ran[end] >= self.ran[begin] + 5_000 {
+        for end in 0..self.admitted.len() {
+            while self.admitted[end] >= self.admitted[begin] + 5_000 {
                 begin += 1;
             }
             most = most.max(end + 1 - begin);
@@ -877,23 +900,23 @@
     }
 }
 
-/// Plays a timeline: its first line names the columns.
-pub fn play(timeline: &str) -> World {
+/// Plays a timeline, whose first line names the columns.
+pub fn play(timeline: &str) -> Simulation {
     let mut lines = timeline.lines().map(str::trim).filter(|line| !line.is_empty());
     let columns: Vec<&str> = lines.next().unwrap().split('|').map(str::trim).collect();
-    let boards = columns.iter().filter(|name| name.starts_with('m') && **name != "ms").count();
-    let mut world = World::new(boards, columns.len() - 2 - boards);
+    let markers = columns.iter().filter(|name| name.starts_with('m') && **name != "ms").count();
+    let mut simulation = Simulation::new(markers, columns.len() - 2 - markers);
     for line in lines {
         let cells: Vec<&str> = line.split('|').map(str::trim).collect();
         assert_eq!(cells.len(), columns.len(), "{line}");
         let at = cells[0].parse().unwrap();
-        assert!(at >= world.now, "{line}: time goes on");
-        world.run(at);
+        assert!(at >= simulation.now, "{line}: time must not go back");
+        simulation.run(at);
         for n in 0..columns.len() - 2 {
-            world.act(n, cells[n + 1]);
+            simulation.act(n, cells[n + 1]);
         }
         let words: Vec<&str> = cells[columns.len() - 1].split_whitespace().collect();
-        world.happen(&words);
+        simulation.execute(&words);
     }
-    world
+    simulation
 }
