--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -12,8 +12,10 @@
 //! is final, so these are accepted from any marker.
 
 use crate::Millis;
-use granitelead_common::recent_use::Known;
-use granitelead_control_protocol::words::{Difference, Document, Down, Instance, News, Revision, State, Up};
+use granitelead_common::recent_use::WindowUsage;
+use granitelead_control_protocol::messages::{
+    Difference, Document, Instance, InstanceState, Revision, ToGatekeeper, ToMarker, Update,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
@@ -45,7 +47,7 @@
     /// The number of gatekeepers, and how many of them are missing.
     Gatekeepers(u32, u32),
     /// Recent usage of all gatekeepers that the attached marker reaches.
-    Recent(Known),
+    Recent(WindowUsage),
     /// Requests that all other gatekeepers have admitted since the previous update, by tenant.
     Others(Vec<(String, u64)>),
 }
@@ -168,14 +170,20 @@
     }
 
     /// Registers a new session. Returns the first message to send.
-    pub fn open(&mut self, now: Millis, ip: Ipv4Addr, has: Option<Revision>, servers: Vec<Instance>) -> Up {
+    pub fn open(
+        &mut self,
+        now: Millis,
+        ip: Ipv4Addr,
+        has: Option<Revision>,
+        servers: Vec<Instance>,
+    ) -> ToMarker {
         self.advance(now);
         self.sessions.insert(ip, Session { opened_at: now, last_received: now, ..Session::default() });
-        Up::Hello { life: self.incarnation, name: self.name.clone(), has, servers }
+        ToMarker::Hello { incarnation: self.incarnation, name: self.name.clone(), in_force: has, servers }
     }
 
     /// Removes a session. Returns the messages to send.
-    pub fn close(&mut self, ip: Ipv4Addr) -> Vec<(Ipv4Addr, Up)> {
+    pub fn close(&mut self, ip: Ipv4Addr) -> Vec<(Ipv4Addr, ToMarker)> {
         self.sessions.remove(&ip);
         if self.attached == Some(ip) {
             self.attached = None;
@@ -184,7 +192,7 @@
     }
 
     /// Runs the periodic work. Returns messages about a change of the attached marker.
-    pub fn look(&mut self, now: Millis) -> Vec<(Ipv4Addr, Up)> {
+    pub fn look(&mut self, now: Millis) -> Vec<(Ipv4Addr, ToMarker)> {
         self.advance(now);
         let mut messages = self.detach_if_silent();
         messages.extend(self.select_attached());
@@ -193,21 +201,21 @@
 
     /// A silent attached marker may still receive messages: it is told that further requests won't be reported to
     /// it.
-    fn detach_if_silent(&mut self) -> Vec<(Ipv4Addr, Up)> {
+    fn detach_if_silent(&mut self) -> Vec<(Ipv4Addr, ToMarker)> {
         let now = self.now;
         let attached = self.attached.and_then(|ip| Some((ip, self.sessions.get_mut(&ip)?)));
         let silent = attached
             .filter(|(_, s)| !s.detached && s.others.is_some() && now >= s.last_received + SILENCE_MAX);
         let Some((ip, session)) = silent else { return Vec::new() };
         (session.detached, session.sent_recent, session.others) = (true, false, None);
-        vec![(ip, Up::Home(false))]
+        vec![(ip, ToMarker::Attach(false))]
     }
 
     /// Reinstates an attached marker that was silent and sends again.
-    fn reattach(&mut self, ip: Ipv4Addr) -> Vec<(Ipv4Addr, Up)> {
+    fn reattach(&mut self, ip: Ipv4Addr) -> Vec<(Ipv4Addr, ToMarker)> {
         let session = self.sessions.get_mut(&ip).filter(|_| self.attached == Some(ip));
         match session.map(|s| std::mem::take(&mut s.detached)) {
-            Some(true) => vec![(ip, Up::Home(true))],
+            Some(true) => vec![(ip, ToMarker::Attach(true))],
             _ => Vec::new(),
         }
     }
@@ -257,7 +265,7 @@
     /// Selects the attached marker: a marker of this zone that has completed its initial transfer, else the one
     /// with the oldest session. A marker without a quorum keeps the role only while no other has a quorum,
     /// and gets it only if none has had one for [`QUORUM_TIMEOUT`].
-    fn select_attached(&mut self) -> Vec<(Ipv4Addr, Up)> {
+    fn select_attached(&mut self) -> Vec<(Ipv4Addr, ToMarker)> {
         let is_local = |s: &Session| s.zone.as_ref() == Some(&self.zone);
         let is_eligible = |s: &Session| s.has_quorum && s.received_since_loss;
         let may = |ip: &Ipv4Addr, s: &Session| {
@@ -272,14 +280,14 @@
         if best == self.attached {
             return Vec::new();
         }
-        let mut messages: Vec<(Ipv4Addr, Up)> =
-            self.attached.into_iter().map(|ip| (ip, Up::Home(false))).collect();
+        let mut messages: Vec<(Ipv4Addr, ToMarker)> =
+            self.attached.into_iter().map(|ip| (ip, ToMarker::Attach(false))).collect();
         self.attached = best;
         if let Some(session) = best.and_then(|ip| self.sessions.get_mut(&ip)) {
             (session.others, session.detached, session.sent_recent) = (None, false, false);
         }
         if let Some(ip) = best {
-            messages.push((ip, Up::Home(true)));
+            messages.push((ip, ToMarker::Attach(true)));
             // Reports that the previous attached marker may not have counted are sent again: counting twice is
             // preferred to losing them.
             let resent = std::mem::take(&mut self.unacknowledged).into_iter().flat_map(|(_, adds)| adds);
@@ -291,7 +299,7 @@
     }
 
     /// Addresses a message to all markers.
-    pub fn tell_all(&self, message: &Up) -> Vec<(Ipv4Addr, Up)> {
+    pub fn tell_all(&self, message: &ToMarker) -> Vec<(Ipv4Addr, ToMarker)> {
         self.sessions.keys().map(|ip| (*ip, message.clone())).collect()
     }
 
@@ -304,7 +312,8 @@
         if session.has_quorum || accepts_any {
             return servers;
         }
-        let (ready, others): (Vec<_>, Vec<_>) = servers.into_iter().partition(|s| s.state == State::Ready);
+        let (ready, others): (Vec<_>, Vec<_>) =
+            servers.into_iter().partition(|s| s.state == InstanceState::Ready);
         session.deferred_ready.extend(ready.into_iter().map(|server| (server.id.clone(), server)));
         others
     }
@@ -314,8 +323,8 @@
         &mut self,
         now: Millis,
         ip: Ipv4Addr,
-        message: Down,
-    ) -> (Option<Change>, Vec<(Ipv4Addr, Up)>) {
+        message: ToGatekeeper,
+    ) -> (Option<Change>, Vec<(Ipv4Addr, ToMarker)>) {
         if let Some(session) = self.sessions.get_mut(&ip) {
             (session.last_received, session.received_since_loss) = (now, true);
         }
@@ -326,33 +335,40 @@
         (change, messages)
     }
 
-    fn handle(&mut self, now: Millis, ip: Ipv4Addr, message: Down) -> (Option<Change>, Vec<(Ipv4Addr, Up)>) {
+    fn handle(
+        &mut self,
+        now: Millis,
+        ip: Ipv4Addr,
+        message: ToGatekeeper,
+    ) -> (Option<Change>, Vec<(Ipv4Addr, ToMarker)>) {
         match message {
-            Down::Pong => (None, Vec::new()),
-            Down::News(number, news) => {
-                let mut messages = vec![(ip, Up::Got(number))];
+            ToGatekeeper::Pong => (None, Vec::new()),
+            ToGatekeeper::Update(number, news) => {
+                let mut messages = vec![(ip, ToMarker::Acknowledge(number))];
                 let change = match news {
-                    News::Configuration(document) if self.has_initial => {
+                    Update::Configuration(document) if self.has_initial => {
                         Some(Change::Configuration(document))
                     }
-                    News::Configuration(document) => {
+                    Update::Configuration(document) => {
                         if let Some(session) = self.sessions.get_mut(&ip) {
                             session.initial = Some(document);
                         }
                         None
                     }
-                    News::Change(difference) if self.has_initial => Some(Change::Difference(difference)),
-                    News::Change(difference) => {
+                    Update::ConfigurationDifference(difference) if self.has_initial => {
+                        Some(Change::Difference(difference))
+                    }
+                    Update::ConfigurationDifference(difference) => {
                         // The difference applies to the deferred configuration if that is its base.
                         let session = self.sessions.get_mut(&ip);
                         let first = session.and_then(|s| s.initial.as_mut());
                         match first.and_then(|d| difference.apply(d).ok().map(|next| (d, next))) {
                             Some((first, next)) => *first = next,
-                            None => messages.push((ip, Up::Lacks(None))),
+                            None => messages.push((ip, ToMarker::RequestFull(None))),
                         }
                         None
                     }
-                    News::Contact(has_quorum) => {
+                    Update::Contact(has_quorum) => {
                         if self.attached == Some(ip) && !has_quorum {
                             self.sessions.values_mut().for_each(|s| s.received_since_loss = false);
                         }
@@ -363,11 +379,11 @@
                         messages.extend(self.select_attached());
                         None
                     }
-                    News::Servers(servers) => {
+                    Update::Servers(servers) => {
                         let servers = self.defer_ready(ip, servers);
                         (!servers.is_empty()).then_some(Change::Servers(servers))
                     }
-                    News::Markers(markers) => {
+                    Update::Markers(markers) => {
                         // A marker without a quorum lists only the markers that it still reaches.
                         let has_quorum = |s: &Session| s.has_quorum;
                         if !self.sessions.values().any(has_quorum)
@@ -377,7 +393,7 @@
                         }
                         None
                     }
-                    News::Gatekeepers(n, missed) => {
+                    Update::Gatekeepers(n, missed) => {
                         if let Some(session) = self.sessions.get_mut(&ip) {
                             session.gatekeepers = Some((n, missed));
                         }
@@ -385,7 +401,7 @@
                         // missing.
                         (self.attached == Some(ip)).then_some(Change::Gatekeepers(n, missed))
                     }
-                    News::Whole(zone) => {
+                    Update::Synchronized(zone) => {
                         if let Some(session) = self.sessions.get_mut(&ip) {
                             session.zone = Some(zone);
                         }
@@ -395,14 +411,14 @@
                 };
                 (change, messages)
             }
-            Down::Recent(recent) => {
+            ToGatekeeper::Recent(recent) => {
                 let is_attached = self.attached == Some(ip);
                 if let Some(session) = self.sessions.get_mut(&ip) {
                     session.sent_recent = is_attached && !session.detached;
                 }
                 (is_attached.then_some(Change::Recent(recent)), Vec::new())
             }
-            Down::Totals(counted, totals) => {
+            ToGatekeeper::Totals(counted, totals) => {
                 let attached =
                     self.sessions.get_mut(&ip).filter(|s| self.attached == Some(ip) && s.sent_recent);
                 let Some(session) = attached else { return (None, Vec::new()) };
@@ -434,7 +450,7 @@
     }
 
     /// The report of requests admitted since the previous report, addressed to the attached marker.
-    pub fn batch(&mut self, now: Millis) -> Option<(Ipv4Addr, Up)> {
+    pub fn batch(&mut self, now: Millis) -> Option<(Ipv4Addr, ToMarker)> {
         if !self.in_sync(now) {
             // They were admitted from the share that the others leave to missing gatekeepers.
             self.admitted.clear();
@@ -447,7 +463,7 @@
         }
         let adds = std::mem::take(&mut self.admitted);
         self.number += 1;
-        let up = Up::Adds(self.number, adds.iter().map(|(tenant, n)| (tenant.clone(), *n)).collect());
+        let up = ToMarker::Usage(self.number, adds.iter().map(|(tenant, n)| (tenant.clone(), *n)).collect());
         if self.unacknowledged.len() >= UNACKNOWLEDGED_MAX {
             if let Some((_, oldest)) = self.unacknowledged.first_mut() {
                 adds.into_iter().for_each(|(tenant, n)| *oldest.entry(tenant).or_default() += n);
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -11,9 +11,9 @@
 use crate::tenants::Tenants;
 use crate::Millis;
 use granitelead_common::configuration::{self, Configuration, Route};
-use granitelead_common::kinds::Kind;
+use granitelead_common::error_kinds::ErrorKind;
 use granitelead_common::settings::Bounds;
-use granitelead_control_protocol::words::{Document, Down, Revision, Up};
+use granitelead_control_protocol::messages::{Document, Revision, ToGatekeeper, ToMarker};
 use hyper::header::{HeaderMap, AUTHORIZATION};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -51,13 +51,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// The error with which it is answered.
-    pub kind: Kind,
+    pub kind: ErrorKind,
     /// The time until it would be admitted, ms, if known.
     pub wait: Option<Millis>,
 }
 
-impl From<Kind> for Refusal {
-    fn from(kind: Kind) -> Refusal {
+impl From<ErrorKind> for Refusal {
+    fn from(kind: ErrorKind) -> Refusal {
         Refusal { kind, wait: None }
     }
 }
@@ -118,12 +118,12 @@
     }
 
     /// Applies a change that a marker sent. Returns the messages to send to markers.
-    pub fn take(&mut self, now: Millis, from: Ipv4Addr, change: Change) -> Vec<(Ipv4Addr, Up)> {
+    pub fn take(&mut self, now: Millis, from: Ipv4Addr, change: Change) -> Vec<(Ipv4Addr, ToMarker)> {
         match change {
             Change::Configuration(document) => return self.put_in_force(from, document),
             Change::Difference(difference) => {
                 if let Some(has) = self.revision_from(difference.to.version) {
-                    return vec![(from, Up::Has(has))];
+                    return vec![(from, ToMarker::InForce(has))];
                 }
                 match self.document.as_ref().map(|document| difference.apply(document)) {
                     Some(Ok(document)) => return self.put_in_force(from, document),
@@ -134,7 +134,7 @@
                         log::info!("configuration difference from {from}, but no configuration is in force")
                     }
                 }
-                return vec![(from, Up::Lacks(self.revision()))];
+                return vec![(from, ToMarker::RequestFull(self.revision()))];
             }
             Change::Servers(updates) => self.servers.take(now, updates),
             Change::Whole => self.is_complete = true,
@@ -155,9 +155,9 @@
 
     /// Validates a configuration and puts it in force, unless a newer one is. Tells all markers, so that none
     /// sends it again.
-    fn put_in_force(&mut self, from: Ipv4Addr, document: Document) -> Vec<(Ipv4Addr, Up)> {
+    fn put_in_force(&mut self, from: Ipv4Addr, document: Document) -> Vec<(Ipv4Addr, ToMarker)> {
         if let Some(has) = self.revision_from(document.version) {
-            return vec![(from, Up::Has(has))];
+            return vec![(from, ToMarker::InForce(has))];
         }
         match configuration::parse(&document.bytes) {
             Ok(parsed) if parsed.version != document.version => {
@@ -170,7 +170,7 @@
             }
             Ok(parsed) => {
                 self.configuration = Some(Rc::new(parsed));
-                let has = Up::Has(document.revision());
+                let has = ToMarker::InForce(document.revision());
                 self.document = Some(document);
                 self.control.tell_all(&has)
             }
@@ -194,9 +194,9 @@
         path: &str,
         headers: &HeaderMap,
     ) -> Result<Pass, Refusal> {
-        let Some(configuration) = self.configuration.clone() else { return Err(Kind::NotReady.into()) };
-        let route = configuration.route(host, path).ok_or(Refusal::from(Kind::Unknown))?;
-        let tenant = if configuration.keyed {
+        let Some(configuration) = self.configuration.clone() else { return Err(ErrorKind::NotReady.into()) };
+        let route = configuration.route(host, path).ok_or(Refusal::from(ErrorKind::Unknown))?;
+        let tenant = if configuration.requires_key {
             let key = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
             let key = key.and_then(|value| value.split_once(' '));
             let bearer =
@@ -204,14 +204,14 @@
             match bearer.and_then(|key| configuration.keys.get(key)) {
                 Some(tenant) => Some(&configuration.tenants[*tenant]),
                 None if route.public => None,
-                None => return Err(Kind::Key.into()),
+                None => return Err(ErrorKind::UnknownKey.into()),
             }
         } else {
             None
         };
         let has_attempt_id = headers.get(names::ATTEMPT).is_some_and(|id| !id.is_empty());
         if !has_attempt_id {
-            return Err(Kind::Malformed.into());
+            return Err(ErrorKind::Malformed.into());
         }
         let requested =
             headers.get(names::DEADLINE).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
@@ -222,7 +222,8 @@
         let initial_position = self.rng.f64();
         let service = self.splits.next(configuration.version, &host, rule_index, route, initial_position);
         let service = service.and_then(|index| configuration.services.get(index));
-        let service = service.map(|service| service.name.clone()).ok_or(Refusal::from(Kind::NoRoom))?;
+        let service =
+            service.map(|service| service.name.clone()).ok_or(Refusal::from(ErrorKind::Overloaded))?;
         let mut deadline = now + (time.as_millis() as Millis).saturating_sub(ANSWER_MARGIN);
         if let Some(drain) = &self.drain {
             let target_latency = route.target.as_millis() as Millis;
@@ -230,7 +231,8 @@
                 .servers
                 .typical(&service, target_latency)
                 .map_or(target_latency, |usual_latency| usual_latency as Millis);
-            deadline = drain.deadline(now, deadline, usual_latency).ok_or(Refusal::from(Kind::NoRoom))?;
+            deadline =
+                drain.deadline(now, deadline, usual_latency).ok_or(Refusal::from(ErrorKind::Overloaded))?;
         }
         let pass = Pass {
             service,
@@ -243,7 +245,7 @@
         };
         if let Some(tenant) = tenant {
             if let Some(wait) = self.tenants.rate_limit(now, tenant) {
-                return Err(Refusal { kind: Kind::Quota, wait: Some(wait) });
+                return Err(Refusal { kind: ErrorKind::Quota, wait: Some(wait) });
             }
             self.control.add(&tenant.name);
         }
@@ -251,7 +253,12 @@
     }
 
     /// Handles a message from a marker. Returns the messages to send, with their recipients.
-    pub fn on_message(&mut self, now: Millis, ip: Ipv4Addr, message: Down) -> Vec<(Ipv4Addr, Up)> {
+    pub fn on_message(
+        &mut self,
+        now: Millis,
+        ip: Ipv4Addr,
+        message: ToGatekeeper,
+    ) -> Vec<(Ipv4Addr, ToMarker)> {
         let (change, mut messages) = self.control.take(now, ip, message);
         if let Some(change) = change {
             messages.extend(self.take(now, ip, change));
@@ -261,7 +268,7 @@
     }
 
     /// Applies the changes that were deferred and are due now.
-    fn apply_deferred(&mut self, now: Millis, messages: &mut Vec<(Ipv4Addr, Up)>) {
+    fn apply_deferred(&mut self, now: Millis, messages: &mut Vec<(Ipv4Addr, ToMarker)>) {
         while let Some((ip, change)) = self.control.due() {
             messages.extend(self.take(now, ip, change));
         }
@@ -269,7 +276,7 @@
 
     /// Runs the periodic work: updates the sessions' state and whether this gatekeeper is in sync. Returns
     /// the messages to send, among them the report of admitted requests.
-    pub fn on_tick(&mut self, now: Millis) -> Vec<(Ipv4Addr, Up)> {
+    pub fn on_tick(&mut self, now: Millis) -> Vec<(Ipv4Addr, ToMarker)> {
         let mut messages = self.control.look(now);
         self.apply_deferred(now, &mut messages);
         if let Some((all, missed)) = self.control.gatekeepers() {
--- a/crates/proxy/src/request_state.rs
+++ b/crates/proxy/src/request_state.rs
@@ -6,8 +6,8 @@
 
 use crate::servers::Sign;
 use crate::Millis;
-use granitelead_common::configuration::Repeats;
-use granitelead_common::kinds::Kind;
+use granitelead_common::configuration::RetrySafety;
+use granitelead_common::error_kinds::ErrorKind;
 use std::rc::Rc;
 
 /// Minimum time before the deadline for another attempt, as a fraction of the usual latency.
@@ -43,14 +43,14 @@
     /// Forward the answer that was received.
     Pass,
     /// Answer with this error.
-    End(Kind),
+    End(ErrorKind),
 }
 
 /// One request, from its receipt to its answer.
 #[derive(Clone, Debug)]
 pub struct RequestState {
     /// Whether the request may be executed more than once.
-    pub repeats: Repeats,
+    pub repeats: RetrySafety,
     /// When it was received.
     pub begun: Millis,
     /// When it must be answered.
@@ -100,7 +100,7 @@
         if !failed {
             return Next::Pass;
         }
-        let allowed = self.repeats == Repeats::Safe || !self.may_have_run;
+        let allowed = self.repeats == RetrySafety::Idempotent || !self.may_have_run;
         if allowed && self.has_time_for_retry(now, usual) && self.has_attempts() && budget() {
             return Next::Send;
         }
@@ -125,7 +125,7 @@
     }
 
     fn may_hedge(&self) -> bool {
-        self.repeats == Repeats::Safe && self.has_attempts()
+        self.repeats == RetrySafety::Idempotent && self.has_attempts()
     }
 
     fn has_attempts(&self) -> bool {
@@ -137,11 +137,11 @@
     }
 
     /// The error to answer with if no server's answer is forwarded.
-    pub fn ending(&self, now: Millis) -> Kind {
+    pub fn ending(&self, now: Millis) -> ErrorKind {
         match (self.may_have_run, now >= self.deadline) {
-            (false, _) => Kind::NoRoom,
-            (true, false) => Kind::Upstream,
-            (true, true) => Kind::Deadline,
+            (false, _) => ErrorKind::Overloaded,
+            (true, false) => ErrorKind::Upstream,
+            (true, true) => ErrorKind::Deadline,
         }
     }
 }
@@ -151,7 +151,7 @@
     use super::*;
     use googletest::prelude::*;
 
-    fn request(repeats: Repeats) -> RequestState {
+    fn request(repeats: RetrySafety) -> RequestState {
         let tried = vec!["a".into()];
         RequestState { repeats, begun: 0, deadline: 600, aim: 250, attempts: 2, tried, may_have_run: false }
     }
@@ -165,39 +165,45 @@
             (Outcome::TurnedAway, Next::Send, Next::Send),
             (Outcome::Misdirected, Next::Send, Next::Send),
             (Outcome::NotSent, Next::Send, Next::Send),
-            (Outcome::Broken, Next::End(Kind::Upstream), Next::Send),
-            (Outcome::Silent, Next::End(Kind::Upstream), Next::Send),
+            (Outcome::Broken, Next::End(ErrorKind::Upstream), Next::Send),
+            (Outcome::Silent, Next::End(ErrorKind::Upstream), Next::Send),
         ] {
-            let next = request(Repeats::Once).on_outcome(100, &outcome, 50.0, || true);
+            let next = request(RetrySafety::AtMostOnce).on_outcome(100, &outcome, 50.0, || true);
             expect_that!(next, eq(&once), "{outcome:?}");
-            let next = request(Repeats::Safe).on_outcome(100, &outcome, 50.0, || true);
+            let next = request(RetrySafety::Idempotent).on_outcome(100, &outcome, 50.0, || true);
             expect_that!(next, eq(&safe), "{outcome:?}");
         }
     }
 
     #[gtest]
     fn retries_are_bounded_by_attempts_time_and_budget_and_503_is_only_for_unexecuted_requests() {
-        let mut all_tried = request(Repeats::Safe);
+        let mut all_tried = request(RetrySafety::Idempotent);
         all_tried.tried.push("b".into());
         expect_that!(
             all_tried.on_outcome(100, &Outcome::TurnedAway, 50.0, || true),
-            eq(&Next::End(Kind::NoRoom))
+            eq(&Next::End(ErrorKind::Overloaded))
         );
         expect_that!(
             all_tried.on_outcome(100, &Outcome::Broken, 50.0, || true),
-            eq(&Next::End(Kind::Upstream))
+            eq(&Next::End(ErrorKind::Upstream))
         );
         expect_that!(
             all_tried.on_outcome(100, &Outcome::TurnedAway, 50.0, || true),
-            eq(&Next::End(Kind::Upstream))
+            eq(&Next::End(ErrorKind::Upstream))
         );
-        let mut late = request(Repeats::Safe);
-        expect_that!(late.on_outcome(590, &Outcome::NotSent, 50.0, || true), eq(&Next::End(Kind::NoRoom)));
-        expect_that!(late.on_outcome(600, &Outcome::Silent, 50.0, || true), eq(&Next::End(Kind::Deadline)));
-        let mut without_budget = request(Repeats::Safe);
+        let mut late = request(RetrySafety::Idempotent);
+        expect_that!(
+            late.on_outcome(590, &Outcome::NotSent, 50.0, || true),
+            eq(&Next::End(ErrorKind::Overloaded))
+        );
+        expect_that!(
+            late.on_outcome(600, &Outcome::Silent, 50.0, || true),
+            eq(&Next::End(ErrorKind::Deadline))
+        );
+        let mut without_budget = request(RetrySafety::Idempotent);
         expect_that!(
             without_budget.on_outcome(100, &Outcome::TurnedAway, 50.0, || false),
-            eq(&Next::End(Kind::NoRoom))
+            eq(&Next::End(ErrorKind::Overloaded))
         );
     }
 }
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -4,7 +4,7 @@
 //! observed locally by this gatekeeper.
 
 use crate::Millis;
-use granitelead_control_protocol::words::{Instance, State};
+use granitelead_control_protocol::messages::{Instance, InstanceState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -86,7 +86,7 @@
         for update in told {
             let id: Rc<str> = update.id.as_str().into();
             let Some(server) = self.by_id.get_mut(&id) else {
-                if update.state != State::Gone {
+                if update.state != InstanceState::Gone {
                     self.services.entry(update.service.clone()).or_default().insert(id.clone());
                     let cold_until = now + update.cold_ms;
                     let server = Server {
@@ -108,15 +108,16 @@
             }
             // An answer received here outweighs missed heartbeats at a marker; a server that deregistered has
             // ended.
-            let silent = update.state == State::Gone && update.sequence != u64::MAX;
+            let silent = update.state == InstanceState::Gone && update.sequence != u64::MAX;
             if silent && server.answered_at.is_some_and(|at| now < at + ANSWER_VALIDITY) {
                 continue;
             }
             server.told.update(update);
             server.gone_at = now;
         }
-        let is_forgotten =
-            |s: &Server| s.told.state == State::Gone && s.in_flight == 0 && now >= s.gone_at + GONE_RETENTION;
+        let is_forgotten = |s: &Server| {
+            s.told.state == InstanceState::Gone && s.in_flight == 0 && now >= s.gone_at + GONE_RETENTION
+        };
         self.by_id.retain(|id, server| {
             let keeps = !is_forgotten(server);
             if !keeps {
@@ -130,13 +131,18 @@
 
     /// All servers that aren't gone, to be sent to markers.
     pub fn all(&self) -> Vec<Instance> {
-        self.by_id.values().map(|s| &s.told).filter(|told| told.state != State::Gone).cloned().collect()
+        self.by_id
+            .values()
+            .map(|s| &s.told)
+            .filter(|told| told.state != InstanceState::Gone)
+            .cloned()
+            .collect()
     }
 
     /// The number of ready servers of a service.
     pub fn ready(&self, service: &str) -> usize {
         let ids = self.services.get(service).into_iter().flatten();
-        ids.filter(|id| self.by_id.get(*id).is_some_and(|s| s.told.state == State::Ready)).count()
+        ids.filter(|id| self.by_id.get(*id).is_some_and(|s| s.told.state == InstanceState::Ready)).count()
     }
 
     /// The server with this incarnation id.
@@ -160,7 +166,7 @@
         let ready: Vec<(&Rc<str>, &Server)> = ids
             .iter()
             .filter_map(|id| self.by_id.get(id).map(|server| (id, server)))
-            .filter(|(id, s)| s.told.state == State::Ready && !tried.contains(*id))
+            .filter(|(id, s)| s.told.state == InstanceState::Ready && !tried.contains(*id))
             .collect();
         let has_capacity = |s: &Server| f64::from(s.in_flight) < f64::from(s.told.slots) * IN_FLIGHT_MAX;
         let healthy: Vec<&(&Rc<str>, &Server)> = ready.iter().filter(|(_, s)| now >= s.avoid_until).collect();
@@ -244,7 +250,7 @@
     use super::*;
     use googletest::prelude::*;
 
-    fn told(id: &str, zone: &str, sequence: u64, state: State) -> Instance {
+    fn told(id: &str, zone: &str, sequence: u64, state: InstanceState) -> Instance {
         Instance {
             id: id.into(),
             service: "s".into(),
@@ -260,7 +266,7 @@
 
     fn servers(zones: &[(&str, &str)]) -> Servers {
         let mut servers = Servers::new("a", 1);
-        servers.take(0, zones.iter().map(|(id, zone)| told(id, zone, 1, State::Ready)).collect());
+        servers.take(0, zones.iter().map(|(id, zone)| told(id, zone, 1, InstanceState::Ready)).collect());
         servers
     }
 
@@ -296,7 +302,7 @@
         servers.end(1_000, "x", Sign::Absent, 250);
         expect_that!(picks(&mut servers, 1_000), eq(&BTreeMap::from([(Rc::from("y"), 200)])));
         expect_that!(servers.pick(1_000, "s", &["y".into()]).as_deref(), some(eq("z")));
-        servers.take(1_000, vec![told("y", "a", 2, State::Draining)]);
+        servers.take(1_000, vec![told("y", "a", 2, InstanceState::Draining)]);
         expect_that!(servers.ready("s"), eq(2));
         expect_that!(picks(&mut servers, 1_000), eq(&BTreeMap::from([(Rc::from("z"), 200)])));
     }
@@ -306,9 +312,9 @@
         let mut servers = servers(&[("x", "a")]);
         servers.begin("x");
         servers.end(1_000, "x", Sign::Good(10), 250);
-        servers.take(2_000, vec![told("x", "a", 1, State::Gone)]);
+        servers.take(2_000, vec![told("x", "a", 1, InstanceState::Gone)]);
         expect_that!(servers.ready("s"), eq(1));
-        servers.take(2_000, vec![told("x", "a", u64::MAX, State::Gone)]);
+        servers.take(2_000, vec![told("x", "a", u64::MAX, InstanceState::Gone)]);
         expect_that!(servers.ready("s"), eq(0));
         expect_true!(servers.all().is_empty());
     }
--- a/crates/proxy/src/sessions.rs
+++ b/crates/proxy/src/sessions.rs
@@ -2,8 +2,8 @@
 
 use crate::front::Front;
 use granitelead_base::Backoff;
-use granitelead_control_protocol::line::{self, Sender};
-use granitelead_control_protocol::words::{Down, Up, Word};
+use granitelead_control_protocol::connection::{self, Sender};
+use granitelead_control_protocol::messages::{Message, ToGatekeeper, ToMarker};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -66,7 +66,7 @@
     pub async fn leave(&self) {
         let senders: Vec<Sender> = self.senders.borrow().values().cloned().collect();
         for sender in &senders {
-            sender.send(&Word::Up(Up::Leave));
+            sender.send(&Message::ToMarker(ToMarker::Leave));
         }
         let started_at = Instant::now();
         while senders.iter().any(|sender| sender.unsent() > 0) && started_at.elapsed() < LEAVE_TIMEOUT {
@@ -74,11 +74,11 @@
         }
     }
 
-    fn send(&self, messages: impl IntoIterator<Item = (Ipv4Addr, Up)>) {
+    fn send(&self, messages: impl IntoIterator<Item = (Ipv4Addr, ToMarker)>) {
         let senders = self.senders.borrow();
         for (ip, message) in messages {
             if let Some(sender) = senders.get(&ip) {
-                sender.send(&Word::Up(message));
+                sender.send(&Message::ToMarker(message));
             }
         }
     }
@@ -100,13 +100,13 @@
 
     /// Connects to a marker and serves the session until it ends.
     async fn run_session(self: Rc<Self>, ip: Ipv4Addr) {
-        let connected = line::dial(SocketAddr::from((ip, self.port))).await;
+        let connected = connection::connect(SocketAddr::from((ip, self.port))).await;
         let stream = match connected {
             Ok(stream) => stream,
             Err(ended) => {
                 log::info!("can't connect to marker {ip}: {ended}");
                 // Random backoff, so that gatekeepers that lost a marker together don't reconnect together.
-                let wait = self.backoff.borrow_mut().draw();
+                let wait = self.backoff.borrow_mut().next_wait();
                 tokio::time::sleep(wait).await;
                 self.connecting.borrow_mut().remove(&ip);
                 return;
@@ -121,10 +121,10 @@
         };
         self.senders.borrow_mut().insert(ip, sender.clone());
         self.connecting.borrow_mut().remove(&ip);
-        sender.send(&Word::Up(hello));
+        sender.send(&Message::ToMarker(hello));
         let sessions = self.clone();
         let transport =
-            line::carry(stream, sender.clone(), SILENCE, move |message| sessions.on_message(ip, message));
+            connection::run(stream, sender.clone(), SILENCE, move |message| sessions.on_message(ip, message));
         let pings = async {
             let mut pinged_at = Instant::now();
             loop {
@@ -132,13 +132,13 @@
                 let is_attached = self.front.gate.borrow().control.home() == Some(ip);
                 if is_attached || pinged_at.elapsed() >= PING_OTHER {
                     pinged_at = Instant::now();
-                    sender.send(&Word::Up(Up::Ping));
+                    sender.send(&Message::ToMarker(ToMarker::Ping));
                 }
             }
         };
         let ended = tokio::select! {
             ended = transport => ended,
-            () = pings => line::Ended::Closed,
+            () = pings => connection::Disconnect::Closed,
         };
         log::info!("session with marker {ip} ended: {ended}");
         self.senders.borrow_mut().remove(&ip);
@@ -146,10 +146,10 @@
         self.send(messages);
     }
 
-    fn on_message(&self, ip: Ipv4Addr, message: Word) {
-        let Word::Down(message) = message else { return };
+    fn on_message(&self, ip: Ipv4Addr, message: Message) {
+        let Message::ToGatekeeper(message) = message else { return };
         let now = self.front.now();
-        let is_update = message != Down::Pong;
+        let is_update = message != ToGatekeeper::Pong;
         let messages = self.front.gate.borrow_mut().on_message(now, ip, message);
         if is_update {
             self.front.room.notify_waiters();
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -12,7 +12,7 @@
 use crate::budget::GATEKEEPERS_ASSUMED;
 use crate::Millis;
 use granitelead_common::configuration::Tenant;
-use granitelead_common::recent_use::{Known, RecentUse};
+use granitelead_common::recent_use::{RecentUse, WindowUsage};
 use granitelead_decisions::{Customer, CustomerId, Plan};
 use std::collections::HashMap;
 
@@ -225,8 +225,8 @@
     }
 
     /// Replaces the recent usage by that of a new attached marker.
-    pub fn replace_recent_use(&mut self, now: Millis, recent: &Known) {
-        self.recent.replace(now, recent);
+    pub fn replace_recent_use(&mut self, now: Millis, recent: &WindowUsage) {
+        self.recent.restore(now, recent);
     }
 
     /// Sets whether the usage of the others is known, and removes idle entries from time to time.
@@ -236,7 +236,7 @@
         }
         if now > self.swept_at + IDLE_TIMEOUT / 16 {
             self.swept_at = now;
-            self.recent.forget_idle(now);
+            self.recent.remove_idle(now);
             self.table.retain(|_, entry| entry.customer.open > 0.0 || now < entry.last_seen + IDLE_TIMEOUT);
         }
     }
@@ -251,7 +251,7 @@
             self.alone_since = now;
         }
         let (n, part) = (self.sharers(), self.part());
-        let is_known = in_sync && self.recent.is_whole(now);
+        let is_known = in_sync && self.recent.is_complete(now);
         let names: Vec<String> = self.table.keys().cloned().collect();
         for name in names {
             let level = self.initial_level(now, &name);
@@ -281,7 +281,7 @@
             return level;
         }
         let rate = plan.rate / self.part() / 1e3;
-        level.min(self.recent.left(now, tenant, spare * plan.burst, BUCKET_FRACTION * plan.burst, rate))
+        level.min(self.recent.remaining(now, tenant, spare * plan.burst, BUCKET_FRACTION * plan.burst, rate))
     }
 
     fn window_level(&self, now: Millis, tenant: &str, plan: &Plan, spare: f64) -> f64 {
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -33,10 +33,12 @@
 
 use granitelead_common::configuration::Tenant;
 use granitelead_common::settings::Bounds;
-use granitelead_control_protocol::words::{Between, Down, Instance, News, Node, State, Up, Word};
+use granitelead_control_protocol::messages::{
+    Instance, InstanceState, Message, Node, PeerMessage, ToGatekeeper, ToMarker, Update,
+};
 use granitelead_proxy::control::Control;
 use granitelead_proxy::gate::Gate;
-use marker::core::{begin, Core};
+use marker::core::{initial_state, Core};
 use marker::parts::{Keeping, Output, Reply};
 use marker::state::{Call, Marker};
 use serde_json::Value;
@@ -73,14 +75,14 @@
     /// What each marker reported about its quorum to this process.
     pub reported_quorum: BTreeMap<Ipv4Addr, bool>,
     /// The state of each server as last reported on each session.
-    reported_servers: BTreeMap<Ipv4Addr, BTreeMap<String, State>>,
+    reported_servers: BTreeMap<Ipv4Addr, BTreeMap<String, InstanceState>>,
 }
 
 enum Event {
-    Between(usize, usize, u64, Node, Between),
+    Between(usize, usize, u64, Node, PeerMessage),
     Written(usize, u32, u64, Keeping),
-    Up(usize, usize, u32, u64, Up),
-    Down(usize, usize, u32, u64, Down),
+    Up(usize, usize, u32, u64, ToMarker),
+    Down(usize, usize, u32, u64, ToGatekeeper),
 }
 
 /// A connection from one marker to another.
@@ -296,7 +298,7 @@
             (None, ["up"]) => {
                 let seeds = self.seeds();
                 let (node, seed) = (&mut self.markers[n], self.rng.u64(..));
-                let keeping = node.disk.clone().unwrap_or_else(|| begin(node.ip, &seeds, true, seed));
+                let keeping = node.disk.clone().unwrap_or_else(|| initial_state(node.ip, &seeds, true, seed));
                 let core = Core::new(keeping, &seeds, (markers - 1) / 2, seed, self.now);
                 let marker = Marker::new(core, format!("zone-{n}"), 1_500, node.servers.clone());
                 node.marker = Some(marker.remembering(node.gatekeepers.clone(), 5_000));
@@ -379,7 +381,7 @@
                 }
             }
             (Some(g), ["end"]) => {
-                let words = self.gatekeepers[g].sessions.keys().map(|ip| (*ip, Up::Leave)).collect();
+                let words = self.gatekeepers[g].sessions.keys().map(|ip| (*ip, ToMarker::Leave)).collect();
                 self.send(g, words);
             }
             (Some(_), ["cut"]) => (0..markers).for_each(|m| self.cuts.extend([(n, m), (m, n)])),
@@ -416,12 +418,13 @@
         self.send(g, messages.into_iter().flatten().collect());
     }
 
-    fn send(&mut self, g: usize, words: Vec<(Ipv4Addr, Up)>) {
+    fn send(&mut self, g: usize, words: Vec<(Ipv4Addr, ToMarker)>) {
         for (ip, message) in words {
             let Some(m) = self.marker_at(ip) else { continue };
             let Some((id, _)) = self.gatekeepers[g].sessions.get(&ip).copied() else { continue };
             if self.counts_bytes {
-                self.bytes.1 += granitelead_control_protocol::frames::write(&Word::Up(message.clone())).len();
+                self.bytes.1 +=
+                    granitelead_control_protocol::frames::encode(&Message::ToMarker(message.clone())).len();
             }
             let start = self.markers[m].start;
             self.schedule(1, Event::Up(g, m, start, id, message));
@@ -438,7 +441,7 @@
                 Output::Send(to, message) => {
                     if self.counts_bytes {
                         self.bytes_between +=
-                            granitelead_control_protocol::frames::write(&Word::Between(me, message.clone()))
+                            granitelead_control_protocol::frames::encode(&Message::Peer(me, message.clone()))
                                 .len();
                     }
                     let Some(to) = self.marker_at(to) else { continue };
@@ -450,8 +453,10 @@
                 }
                 Output::Tell(id, message) => {
                     if self.counts_bytes {
-                        self.bytes.0 +=
-                            granitelead_control_protocol::frames::write(&Word::Down(message.clone())).len();
+                        self.bytes.0 += granitelead_control_protocol::frames::encode(&Message::ToGatekeeper(
+                            message.clone(),
+                        ))
+                        .len();
                     }
                     if let Some((g, _)) = self.markers[n].sessions.get(&id).copied() {
                         let start = self.gatekeepers[g].start;
@@ -499,7 +504,7 @@
                 self.step(n, |marker, now, out| marker.on_written(now, ticket, out));
             }
             Event::Up(g, m, start, id, message) if self.markers[m].start == start => {
-                let (now, opens) = (self.now, matches!(message, Up::Hello { .. }));
+                let (now, opens) = (self.now, matches!(message, ToMarker::Hello { .. }));
                 if opens {
                     self.markers[m].sessions.insert(id, (g, now));
                 }
@@ -514,18 +519,18 @@
                 let Some(session) = node.sessions.get_mut(&ip).filter(|s| s.0 == id) else { return };
                 session.1 = now;
                 match &message {
-                    Down::News(1, _) => drop(node.reported_servers.remove(&ip)),
-                    Down::News(_, News::Contact(contact)) => {
+                    ToGatekeeper::Update(1, _) => drop(node.reported_servers.remove(&ip)),
+                    ToGatekeeper::Update(_, Update::Contact(contact)) => {
                         node.reported_quorum.insert(ip, *contact);
                         if *contact {
                             let ready = node.reported_servers.get(&ip).into_iter().flatten();
-                            let ready = ready.filter(|(_, state)| **state == State::Ready);
+                            let ready = ready.filter(|(_, state)| **state == InstanceState::Ready);
                             self.quorum_reports.push((m, g, ready.map(|(id, _)| id.clone()).collect()));
                         }
                     }
                     _ => {}
                 }
-                if let Down::News(_, News::Servers(servers)) = &message {
+                if let ToGatekeeper::Update(_, Update::Servers(servers)) = &message {
                     let reported_servers = node.reported_servers.entry(ip).or_default();
                     reported_servers.extend(servers.iter().map(|server| (server.id.clone(), server.state)));
                 }
@@ -570,7 +575,7 @@
         if now >= self.gatekeepers[g].pinged + 150 {
             self.gatekeepers[g].pinged = now;
             let all: Vec<Ipv4Addr> = self.gatekeepers[g].sessions.keys().copied().collect();
-            self.send(g, all.into_iter().map(|ip| (ip, Up::Ping)).collect());
+            self.send(g, all.into_iter().map(|ip| (ip, ToMarker::Ping)).collect());
         }
     }
 
--- a/crates/proxy/tests/contact.rs
+++ b/crates/proxy/tests/contact.rs
@@ -6,7 +6,7 @@
 
 use common::{beat, configuration, play, status, Simulation};
 use googletest::prelude::*;
-use granitelead_control_protocol::words::State;
+use granitelead_control_protocol::messages::InstanceState;
 use marker::parts::Reply;
 use marker::state::Call;
 
@@ -662,9 +662,9 @@
             // A gatekeeper that has been connected for as long as the rules require knows each acknowledged
             // drain.
             for (id, at) in &self.drains {
-                let state = gate.servers.get(id).map_or(State::Gone, |s| s.told.state);
+                let state = gate.servers.get(id).map_or(InstanceState::Gone, |s| s.told.state);
                 assert!(
-                    state != State::Ready,
+                    state != InstanceState::Ready,
                     "g{} does not know the drain of {id}, of {at}, at {now}",
                     g + 1
                 );
@@ -675,7 +675,7 @@
                     && server.heartbeats_since.is_some_and(|at| now > at + 3_500);
                 let known = gate.servers.get(&server.id).map(|s| s.told.state);
                 assert!(
-                    !sends_heartbeats || known == Some(State::Ready),
+                    !sends_heartbeats || known == Some(InstanceState::Ready),
                     "g{} misses {} at {now}: {known:?}",
                     g + 1,
                     server.id
--- a/crates/proxy/tests/history.rs
+++ b/crates/proxy/tests/history.rs
@@ -5,7 +5,7 @@
 
 use common::Simulation;
 use googletest::prelude::*;
-use granitelead_control_protocol::words::{Difference, Document, Up};
+use granitelead_control_protocol::messages::{Difference, Document, ToMarker};
 use granitelead_proxy::control::Change;
 use marker::state::Call;
 
@@ -42,7 +42,7 @@
     fn replace(&mut self, version: u32) {
         let leads = |simulation: &Simulation, n: usize| {
             simulation.others(n).len() * 2 + 1 >= simulation.markers.len()
-                && simulation.markers[n].marker.as_ref().is_some_and(|m| m.view().leads)
+                && simulation.markers[n].marker.as_ref().is_some_and(|m| m.view().is_primary)
         };
         let until = self.now + 3_000;
         while self.now < until {
@@ -174,7 +174,7 @@
     let (old, older) = (Document { version: 2, bytes: other }, Document { version: 1, bytes: routes(1) });
     let back = Difference::between(&old, &older).unwrap();
     let gate = simulation.gatekeepers[1].gate.as_mut().unwrap();
-    let has = Up::Has(gate.revision().unwrap());
+    let has = ToMarker::InForce(gate.revision().unwrap());
     expect_that!(gate.take(now, ip, Change::Configuration(old)), eq(&vec![(ip, has.clone())]));
     expect_that!(gate.take(now, ip, Change::Difference(back)), eq(&vec![(ip, has)]));
     simulation.assert_all_have(3);
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -6,7 +6,7 @@
 
 use common::{Simulation, RATE};
 use granitelead_common::configuration::Tenant;
-use granitelead_common::recent_use::Known;
+use granitelead_common::recent_use::WindowUsage;
 use granitelead_proxy::tenants::Tenants;
 use std::net::Ipv4Addr;
 
@@ -256,7 +256,7 @@
 fn single_gatekeeper() -> Tenants {
     let mut tenants = Tenants::new(5, 5_000);
     tenants.set_gatekeepers(0, 1, 0);
-    tenants.replace_recent_use(0, &Known { span: 5_000, granted: vec![250_000; 20], used: Vec::new() });
+    tenants.replace_recent_use(0, &WindowUsage { span: 5_000, granted: vec![250_000; 20], used: Vec::new() });
     tenants.set_in_sync(0, true);
     tenants
 }
@@ -288,7 +288,7 @@
 
 #[test]
 fn a_restarted_process_starts_from_the_recent_usage() {
-    let known = |used: u32| Known {
+    let known = |used: u32| WindowUsage {
         span: 5_000,
         granted: vec![250_000; 20],
         used: vec![("t".into(), vec![used; 20])],
