--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -2,10 +2,10 @@
 //! tenant quotas.
 
 use crate::budget::Budget;
+use crate::concurrency_limits::ConcurrencyLimits;
 use crate::control::{Change, Control};
 use crate::drain::Drain;
-use crate::pool::names;
-use crate::room::Room;
+use crate::pool::header_names;
 use crate::servers::Servers;
 use crate::split::Splits;
 use crate::tenants::Tenants;
@@ -75,7 +75,7 @@
     /// Traffic splits: selects the service of a route for each request.
     splits: Splits,
     /// The limit on concurrent requests to each service from this gatekeeper.
-    pub room: Room,
+    pub room: ConcurrencyLimits,
     /// The retry budget.
     pub budget: Budget,
     /// The sessions with markers.
@@ -97,7 +97,7 @@
             servers: Servers::new(zone, seed),
             tenants: Tenants::new(seed ^ 2, bounds.quota_window.as_millis() as Millis),
             splits: Splits::default(),
-            room: Room::default(),
+            room: ConcurrencyLimits::default(),
             budget: Budget::new(bounds.retry_ratio, bounds.retry_slack, window),
             control,
             is_complete: false,
@@ -209,12 +209,12 @@
         } else {
             None
         };
-        let has_attempt_id = headers.get(names::ATTEMPT).is_some_and(|id| !id.is_empty());
+        let has_attempt_id = headers.get(header_names::ATTEMPT_ID).is_some_and(|id| !id.is_empty());
         if !has_attempt_id {
             return Err(ErrorKind::Malformed.into());
         }
         let requested =
-            headers.get(names::DEADLINE).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
+            headers.get(header_names::DEADLINE).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
         let time = requested.map_or(route.timeout, Duration::from_millis).min(route.timeout);
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let rule_index =
--- a/crates/proxy/src/sessions.rs
+++ b/crates/proxy/src/sessions.rs
@@ -1,6 +1,6 @@
 //! Connections to markers: opens as many sessions as needed and keeps them alive with pings.
 
-use crate::front::Front;
+use crate::shared_state::SharedState;
 use granitelead_base::Backoff;
 use granitelead_control_protocol::connection::{self, Sender};
 use granitelead_control_protocol::messages::{Message, ToGatekeeper, ToMarker};
@@ -27,7 +27,7 @@
 
 /// The connections of a gatekeeper to markers.
 pub struct Sessions {
-    front: Rc<Front>,
+    shared: Rc<SharedState>,
     port: u16,
     senders: RefCell<BTreeMap<Ipv4Addr, Sender>>,
     connecting: RefCell<BTreeSet<Ipv4Addr>>,
@@ -36,9 +36,9 @@
 
 impl Sessions {
     /// Creates the state without connections; markers listen at `port`.
-    pub fn new(front: Rc<Front>, port: u16) -> Rc<Sessions> {
+    pub fn new(shared: Rc<SharedState>, port: u16) -> Rc<Sessions> {
         Rc::new(Sessions {
-            front,
+            shared,
             port,
             senders: RefCell::default(),
             connecting: RefCell::default(),
@@ -51,12 +51,12 @@
         loop {
             self.adjust_sessions();
             let (was_ready, messages, is_ready) = {
-                let gate = &mut *self.front.gate.borrow_mut();
-                (gate.is_ready(), gate.on_tick(self.front.now()), gate.is_ready())
+                let gate = &mut *self.shared.gate.borrow_mut();
+                (gate.is_ready(), gate.on_tick(self.shared.now()), gate.is_ready())
             };
             self.send(messages);
             if is_ready && !was_ready {
-                self.front.news.notify_waiters();
+                self.shared.marker_updates.notify_waiters();
             }
             tokio::time::sleep(BATCH).await;
         }
@@ -87,9 +87,9 @@
     fn adjust_sessions(self: &Rc<Self>) {
         let wanted = {
             let connecting = self.connecting.borrow();
-            self.front.gate.borrow_mut().control.wanted(&connecting)
+            self.shared.gate.borrow_mut().control.wanted(&connecting)
         };
-        if let Some(ip) = self.front.gate.borrow().control.surplus() {
+        if let Some(ip) = self.shared.gate.borrow().control.surplus() {
             self.senders.borrow().get(&ip).iter().for_each(|sender| sender.close());
         }
         if let Some(ip) = wanted {
@@ -115,9 +115,9 @@
         self.backoff.borrow_mut().reset();
         let sender = Sender::default();
         let hello = {
-            let gate = &mut *self.front.gate.borrow_mut();
+            let gate = &mut *self.shared.gate.borrow_mut();
             let (has, servers) = (gate.revision(), gate.servers.all());
-            gate.control.open(self.front.now(), ip, has, servers)
+            gate.control.open(self.shared.now(), ip, has, servers)
         };
         self.senders.borrow_mut().insert(ip, sender.clone());
         self.connecting.borrow_mut().remove(&ip);
@@ -129,7 +129,7 @@
             let mut pinged_at = Instant::now();
             loop {
                 tokio::time::sleep(PING).await;
-                let is_attached = self.front.gate.borrow().control.home() == Some(ip);
+                let is_attached = self.shared.gate.borrow().control.home() == Some(ip);
                 if is_attached || pinged_at.elapsed() >= PING_OTHER {
                     pinged_at = Instant::now();
                     sender.send(&Message::ToMarker(ToMarker::Ping));
@@ -142,18 +142,18 @@
         };
         log::info!("session with marker {ip} ended: {ended}");
         self.senders.borrow_mut().remove(&ip);
-        let messages = self.front.gate.borrow_mut().control.close(ip);
+        let messages = self.shared.gate.borrow_mut().control.close(ip);
         self.send(messages);
     }
 
     fn on_message(&self, ip: Ipv4Addr, message: Message) {
         let Message::ToGatekeeper(message) = message else { return };
-        let now = self.front.now();
+        let now = self.shared.now();
         let is_update = message != ToGatekeeper::Pong;
-        let messages = self.front.gate.borrow_mut().on_message(now, ip, message);
+        let messages = self.shared.gate.borrow_mut().on_message(now, ip, message);
         if is_update {
-            self.front.room.notify_waiters();
-            self.front.news.notify_waiters();
+            self.shared.capacity_freed.notify_waiters();
+            self.shared.marker_updates.notify_waiters();
         }
         self.send(messages);
     }
