--- a/crates/lab/src/hollow/gatekeepers.rs
+++ b/crates/lab/src/hollow/gatekeepers.rs
@@ -8,7 +8,7 @@
 use granitelead_control_protocol::messages::{Document, Message, Revision, ToGatekeeper, ToMarker, Update};
 use granitelead_proxy::control::{Change, Control};
 use granitelead_proxy::servers::Servers;
-use granitelead_proxy::sessions::{BATCH, PING, PING_OTHER, SILENCE};
+use granitelead_proxy::sessions::{PING_INTERVAL, PING_INTERVAL_OTHER, REPORT_INTERVAL, SESSION_TIMEOUT};
 use granitelead_proxy::Millis;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -82,17 +82,17 @@
     let mut due = 0.0;
     loop {
         gatekeeper.look();
-        due += gatekeeper.shared.requests * BATCH.as_secs_f64();
+        due += gatekeeper.shared.requests * REPORT_INTERVAL.as_secs_f64();
         while due >= 1.0 {
             due -= 1.0;
             let drawn = tenant(fastrand::usize(..gatekeeper.shared.tenants));
-            gatekeeper.control.borrow_mut().add(&drawn);
+            gatekeeper.control.borrow_mut().count_admitted(&drawn);
         }
-        let mut say = gatekeeper.control.borrow_mut().look(gatekeeper.shared.now());
+        let mut say = gatekeeper.control.borrow_mut().on_tick(gatekeeper.shared.now());
         gatekeeper.take_due(&mut say);
-        say.extend(gatekeeper.control.borrow_mut().batch(gatekeeper.shared.now()));
+        say.extend(gatekeeper.control.borrow_mut().usage_report(gatekeeper.shared.now()));
         gatekeeper.say(say);
-        tokio::time::sleep(BATCH).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
     }
 }
 
@@ -111,7 +111,7 @@
         if let Some(ip) = self.control.borrow().surplus() {
             self.standing.borrow().get(&ip).iter().for_each(|line| line.close());
         }
-        let wanted = self.control.borrow_mut().wanted(&self.busy.borrow());
+        let wanted = self.control.borrow_mut().next_marker(&self.busy.borrow());
         if let Some(ip) = wanted {
             self.busy.borrow_mut().insert(ip);
             spawn_local(self.clone().hold(ip));
@@ -139,7 +139,7 @@
         self.say([(ip, hello)]);
         let (gatekeeper, stands) = (self.clone(), Rc::new(Cell::new(false)));
         let told = stands.clone();
-        let carried = connection::run(stream, sender.clone(), SILENCE, move |word| {
+        let carried = connection::run(stream, sender.clone(), SESSION_TIMEOUT, move |word| {
             if matches!(word, Message::ToGatekeeper(ToGatekeeper::Update(_, Update::Synchronized(_))))
                 && !told.replace(true)
             {
@@ -150,9 +150,9 @@
         let pings = async {
             let (mut said, mut counted) = (Instant::now(), 0);
             loop {
-                tokio::time::sleep(PING).await;
-                let home = self.control.borrow().home() == Some(ip);
-                if home || said.elapsed() >= PING_OTHER {
+                tokio::time::sleep(PING_INTERVAL).await;
+                let home = self.control.borrow().attached_marker() == Some(ip);
+                if home || said.elapsed() >= PING_INTERVAL_OTHER {
                     said = Instant::now();
                     self.say([(ip, ToMarker::Ping)]);
                 }
@@ -175,7 +175,7 @@
 
     fn take(&self, ip: Ipv4Addr, word: Message) {
         let Message::ToGatekeeper(word) = word else { return };
-        let (change, mut say) = self.control.borrow_mut().take(self.shared.now(), ip, word);
+        let (change, mut say) = self.control.borrow_mut().on_message(self.shared.now(), ip, word);
         say.extend(change.map(|change| self.change(ip, change)).into_iter().flatten());
         self.take_due(&mut say);
         self.say(say);
@@ -184,7 +184,7 @@
     /// Takes in what markers told before it was to be taken, as the gatekeeper proper does.
     fn take_due(&self, say: &mut Vec<(Ipv4Addr, ToMarker)>) {
         loop {
-            let Some((ip, change)) = self.control.borrow_mut().due() else { break };
+            let Some((ip, change)) = self.control.borrow_mut().next_deferred() else { break };
             say.extend(self.change(ip, change));
         }
         if self.whole.get() && self.document.borrow().is_some() && !self.ready.replace(true) {
@@ -213,15 +213,15 @@
             }
             Change::Servers(told) => {
                 if self.feeds {
-                    self.shared.servers.borrow_mut().take(self.shared.now(), told);
+                    self.shared.servers.borrow_mut().update(self.shared.now(), told);
                 }
                 return Vec::new();
             }
-            Change::Whole => {
+            Change::InitialSyncComplete => {
                 self.whole.set(true);
                 return Vec::new();
             }
-            Change::Gatekeepers(..) | Change::Recent(_) | Change::Others(_) => return Vec::new(),
+            Change::Gatekeepers(..) | Change::RecentUse(_) | Change::OthersUse(_) => return Vec::new(),
         };
         if let Some(has) = self.revision().filter(|has| has.version >= told.version) {
             return vec![(ip, ToMarker::InForce(has))];
@@ -249,6 +249,6 @@
         let (version, has) = (document.version, ToMarker::InForce(document.revision()));
         *self.document.borrow_mut() = Some(document);
         self.shared.seen.in_force(version);
-        self.control.borrow().tell_all(&has)
+        self.control.borrow().broadcast(&has)
     }
 }
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -43,13 +43,13 @@
     /// Updates of servers.
     Servers(Vec<Instance>),
     /// The initial transfer of state is complete.
-    Whole,
+    InitialSyncComplete,
     /// The number of gatekeepers, and how many of them are missing.
     Gatekeepers(u32, u32),
     /// Recent usage of all gatekeepers that the attached marker reaches.
-    Recent(WindowUsage),
+    RecentUse(WindowUsage),
     /// Requests that all other gatekeepers have admitted since the previous update, by tenant.
-    Others(Vec<(String, u64)>),
+    OthersUse(Vec<(String, u64)>),
 }
 
 #[derive(Default)]
@@ -140,12 +140,12 @@
     }
 
     /// The marker that counts the requests admitted here.
-    pub fn home(&self) -> Option<Ipv4Addr> {
+    pub fn attached_marker(&self) -> Option<Ipv4Addr> {
         self.attached
     }
 
     /// The marker to connect to next, if another session is needed; `busy` are being connected to.
-    pub fn wanted(&mut self, busy: &BTreeSet<Ipv4Addr>) -> Option<Ipv4Addr> {
+    pub fn next_marker(&mut self, busy: &BTreeSet<Ipv4Addr>) -> Option<Ipv4Addr> {
         // A new session gets some time: after a restart of all markers none has a quorum yet.
         let counts = |s: &&Session| s.has_quorum || self.now < s.opened_at + NEW_SESSION_GRACE;
         let with_quorum = self.sessions.values().filter(counts).count();
@@ -192,7 +192,7 @@
     }
 
     /// Runs the periodic work. Returns messages about a change of the attached marker.
-    pub fn look(&mut self, now: Millis) -> Vec<(Ipv4Addr, ToMarker)> {
+    pub fn on_tick(&mut self, now: Millis) -> Vec<(Ipv4Addr, ToMarker)> {
         self.advance(now);
         let mut messages = self.detach_if_silent();
         messages.extend(self.select_attached());
@@ -236,7 +236,7 @@
 
     /// The next deferred change that is due: the newest initial configuration, then servers, then the
     /// completion of the initial transfer.
-    pub fn due(&mut self) -> Option<(Ipv4Addr, Change)> {
+    pub fn next_deferred(&mut self) -> Option<(Ipv4Addr, Change)> {
         let accepts_any = self.is_without_quorum();
         let is_eligible = |s: &Session| s.has_quorum || accepts_any;
         let first = self.sessions.iter().filter(|(_, s)| is_eligible(s) && !self.has_initial);
@@ -259,7 +259,7 @@
             self.sessions.iter().find(|(_, s)| is_eligible(s) && s.zone.is_some() && !self.is_complete);
         let ip = complete.map(|(ip, _)| *ip)?;
         self.is_complete = true;
-        Some((ip, Change::Whole))
+        Some((ip, Change::InitialSyncComplete))
     }
 
     /// Selects the attached marker: a marker of this zone that has completed its initial transfer, else the one
@@ -299,7 +299,7 @@
     }
 
     /// Addresses a message to all markers.
-    pub fn tell_all(&self, message: &ToMarker) -> Vec<(Ipv4Addr, ToMarker)> {
+    pub fn broadcast(&self, message: &ToMarker) -> Vec<(Ipv4Addr, ToMarker)> {
         self.sessions.keys().map(|ip| (*ip, message.clone())).collect()
     }
 
@@ -319,7 +319,7 @@
     }
 
     /// Handles a message from a marker. Returns the change to apply and the messages to send.
-    pub fn take(
+    pub fn on_message(
         &mut self,
         now: Millis,
         ip: Ipv4Addr,
@@ -416,7 +416,7 @@
                 if let Some(session) = self.sessions.get_mut(&ip) {
                     session.sent_recent = is_attached && !session.detached;
                 }
-                (is_attached.then_some(Change::Recent(recent)), Vec::new())
+                (is_attached.then_some(Change::RecentUse(recent)), Vec::new())
             }
             ToGatekeeper::Totals(counted, totals) => {
                 let attached =
@@ -435,13 +435,13 @@
                         increments.push((tenant, others - before));
                     }
                 }
-                (Some(Change::Others(increments)), Vec::new())
+                (Some(Change::OthersUse(increments)), Vec::new())
             }
         }
     }
 
     /// Counts an admitted request of a tenant.
-    pub fn add(&mut self, tenant: &str) {
+    pub fn count_admitted(&mut self, tenant: &str) {
         if let Some(n) = self.admitted.get_mut(tenant) {
             *n += 1;
         } else {
@@ -450,7 +450,7 @@
     }
 
     /// The report of requests admitted since the previous report, addressed to the attached marker.
-    pub fn batch(&mut self, now: Millis) -> Option<(Ipv4Addr, ToMarker)> {
+    pub fn usage_report(&mut self, now: Millis) -> Option<(Ipv4Addr, ToMarker)> {
         if !self.in_sync(now) {
             // They were admitted from the share that the others leave to missing gatekeepers.
             self.admitted.clear();
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -6,11 +6,11 @@
 
 use crate::aborts::AbortCause;
 use crate::drain::Drain;
-use crate::gate::Pass;
+use crate::gate::AdmittedRequest;
 use crate::messages::{build_client_response, build_server_request, ResponseBody};
 use crate::pool::{header_names, AttemptResult, ServerResponse};
 use crate::request_state::{Next, Outcome, RequestState};
-use crate::servers::Sign;
+use crate::servers::Observation;
 use crate::shared_state::SharedState;
 use crate::Millis;
 use bytes::Bytes;
@@ -43,26 +43,31 @@
 impl InFlightGuard<'_> {
     /// Records the outcome of an attempt that was not aborted.
     fn end(&mut self, outcome: &Outcome, took: Millis) {
-        if *outcome == Outcome::Silent {
+        if *outcome == Outcome::TimedOut {
             self.shared.aborts.count(AbortCause::Deadline);
         }
-        let sign = RequestState::sign(outcome, took);
-        let fraction_of_target =
-            matches!(sign, Sign::Good(_)).then(|| took as f64 / self.target_latency.max(1) as f64);
-        self.release(sign, fraction_of_target);
+        let observation = RequestState::observation(outcome, took);
+        let fraction_of_target = matches!(observation, Observation::Success(_))
+            .then(|| took as f64 / self.target_latency.max(1) as f64);
+        self.release(observation, fraction_of_target);
     }
 
     /// Reports to the server statistics that the response is overdue.
     fn observe_overdue(&self) {
         let now = self.shared.now();
-        self.shared.gate.borrow_mut().servers.observe(now, &self.server, Sign::Failed, self.target_latency);
+        self.shared.gate.borrow_mut().servers.observe(
+            now,
+            &self.server,
+            Observation::Failed,
+            self.target_latency,
+        );
     }
 
-    fn release(&mut self, sign: Sign, fraction_of_target: Option<f64>) {
+    fn release(&mut self, observation: Observation, fraction_of_target: Option<f64>) {
         self.has_ended = true;
         let (gate, now) = (&mut *self.shared.gate.borrow_mut(), self.shared.now());
-        gate.servers.end(now, &self.server, sign, self.target_latency);
-        gate.room.end(now, self.service, fraction_of_target);
+        gate.servers.end(now, &self.server, observation, self.target_latency);
+        gate.concurrency_limits.end(now, self.service, fraction_of_target);
         self.shared.capacity_freed.notify_one();
     }
 }
@@ -71,7 +76,7 @@
     fn drop(&mut self) {
         if !self.has_ended {
             self.shared.aborts.count(self.cause);
-            self.release(Sign::Nothing, None);
+            self.release(Observation::Neutral, None);
         }
     }
 }
@@ -101,7 +106,7 @@
     shared: &'f SharedState,
     parts: &'f Parts,
     body: Bytes,
-    pass: &'f Pass,
+    pass: &'f AdmittedRequest,
     attempt_id: Rc<[u8]>,
     state: RequestState,
     attempts: Vec<Attempt<'f>>,
@@ -115,17 +120,17 @@
     shared: &SharedState,
     parts: &Parts,
     body: Bytes,
-    pass: &Pass,
+    pass: &AdmittedRequest,
 ) -> Response<ResponseBody> {
     let route = pass.route();
     let state = RequestState {
         repeats: route.retry_safety,
-        begun: shared.now(),
+        received_at: shared.now(),
         deadline: pass.deadline,
-        aim: route.target.as_millis() as Millis,
+        target_latency: route.target.as_millis() as Millis,
         attempts: route.attempts,
         tried: Vec::new(),
-        may_have_run: false,
+        may_have_executed: false,
     };
     let attempt_id = parts.headers.get(header_names::ATTEMPT_ID).map_or(&[][..], |id| id.as_bytes()).into();
     let forwarding = Forwarding {
@@ -173,7 +178,7 @@
             if let Some(chosen) = self.choose_server() {
                 return Some(chosen);
             }
-            let (now, until) = (self.shared.now(), self.state.hold_until());
+            let (now, until) = (self.shared.now(), self.state.queue_until());
             if now >= until {
                 return None;
             }
@@ -187,17 +192,17 @@
     fn choose_server(&self) -> Option<ChosenServer> {
         let (gate, now) = (&mut *self.shared.gate.borrow_mut(), self.shared.now());
         let service = &self.pass.service;
-        if !gate.room.has_capacity(service, self.pass.priority) {
+        if !gate.concurrency_limits.has_capacity(service, self.pass.priority) {
             return None;
         }
         let id = gate.servers.pick(now, service, &self.state.tried)?;
-        let address = gate.servers.get(&id).and_then(|server| server.told.address.parse().ok());
+        let address = gate.servers.get(&id).and_then(|server| server.instance.address.parse().ok());
         gate.servers.begin(&id);
         let Some(address) = address else {
-            gate.servers.end(now, &id, Sign::Absent, self.state.aim);
+            gate.servers.end(now, &id, Observation::Unreachable, self.state.target_latency);
             return None;
         };
-        gate.room.begin(service);
+        gate.concurrency_limits.begin(service);
         Some(ChosenServer { id, address })
     }
 
@@ -214,7 +219,7 @@
             shared,
             server: server.id.clone(),
             service: &self.pass.service,
-            target_latency: self.state.aim,
+            target_latency: self.state.target_latency,
             has_ended: false,
             cause: AbortCause::ClientGone,
         };
@@ -281,11 +286,11 @@
                 self.keep_failure(&outcome, response);
                 self.start_another_attempt(now);
             }
-            Next::Pass if response.is_some() && (self.attempts.is_empty() || !is_failure(&outcome)) => {
+            Next::Forward if response.is_some() && (self.attempts.is_empty() || !is_failure(&outcome)) => {
                 self.abort_attempts(AbortCause::Superseded);
                 return response.map(build_client_response);
             }
-            Next::Pass | Next::End(_) => self.keep_failure(&outcome, response),
+            Next::Forward | Next::End(_) => self.keep_failure(&outcome, response),
         }
         if self.attempts.is_empty() {
             return Some(self.final_failure_response());
@@ -302,7 +307,7 @@
             newest.guard.observe_overdue();
         }
         let (typical, has_budget) = self.typical_time_and_budget(now);
-        if self.state.hedges(now, typical, || has_budget) {
+        if self.state.should_hedge(now, typical, || has_budget) {
             self.start_another_attempt(now);
         }
     }
@@ -319,7 +324,8 @@
         /// Assumed while no response time of the service is known.
         const DEFAULT_RESPONSE_MS: f64 = 50.0;
         let (gate, service) = (&mut *self.shared.gate.borrow_mut(), &self.pass.service);
-        let typical = gate.servers.typical(service, self.state.aim).unwrap_or(DEFAULT_RESPONSE_MS);
+        let typical =
+            gate.servers.typical_latency(service, self.state.target_latency).unwrap_or(DEFAULT_RESPONSE_MS);
         (typical, gate.budget.has(now, service))
     }
 
@@ -333,7 +339,7 @@
     fn abort_attempts(&mut self, cause: AbortCause) {
         for mut attempt in self.attempts.drain(..) {
             // The server may have started to execute the request.
-            self.state.may_have_run = true;
+            self.state.may_have_executed = true;
             if cause == AbortCause::Deadline && !attempt.is_overdue {
                 attempt.guard.observe_overdue();
             }
@@ -346,7 +352,7 @@
         match self.failure.take() {
             Some(failure) => build_client_response(failure),
             None => {
-                let kind = self.state.ending(self.shared.now());
+                let kind = self.state.final_error(self.shared.now());
                 self.shared.refuse(kind, Some(self.pass))
             }
         }
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -24,7 +24,7 @@
 
 /// What an admitted request needs to be forwarded.
 #[derive(Clone, Debug)]
-pub struct Pass {
+pub struct AdmittedRequest {
     /// The configuration that applies to the request until its end.
     pub configuration: Rc<Configuration>,
     /// The service.
@@ -40,7 +40,7 @@
     rule_index: usize,
 }
 
-impl Pass {
+impl AdmittedRequest {
     /// The route of the request.
     pub fn route(&self) -> &Route {
         &self.configuration.hosts[&self.host][self.rule_index]
@@ -53,12 +53,12 @@
     /// The error with which it is answered.
     pub kind: ErrorKind,
     /// The time until it would be admitted, ms, if known.
-    pub wait: Option<Millis>,
+    pub retry_after: Option<Millis>,
 }
 
 impl From<ErrorKind> for Refusal {
     fn from(kind: ErrorKind) -> Refusal {
-        Refusal { kind, wait: None }
+        Refusal { kind, retry_after: None }
     }
 }
 
@@ -75,7 +75,7 @@
     /// Traffic splits: selects the service of a route for each request.
     splits: Splits,
     /// The limit on concurrent requests to each service from this gatekeeper.
-    pub room: ConcurrencyLimits,
+    pub concurrency_limits: ConcurrencyLimits,
     /// The retry budget.
     pub budget: Budget,
     /// The sessions with markers.
@@ -97,7 +97,7 @@
             servers: Servers::new(zone, seed),
             tenants: Tenants::new(seed ^ 2, bounds.quota_window.as_millis() as Millis),
             splits: Splits::default(),
-            room: ConcurrencyLimits::default(),
+            concurrency_limits: ConcurrencyLimits::default(),
             budget: Budget::new(bounds.retry_ratio, bounds.retry_slack, window),
             control,
             is_complete: false,
@@ -118,7 +118,7 @@
     }
 
     /// Applies a change that a marker sent. Returns the messages to send to markers.
-    pub fn take(&mut self, now: Millis, from: Ipv4Addr, change: Change) -> Vec<(Ipv4Addr, ToMarker)> {
+    pub fn apply(&mut self, now: Millis, from: Ipv4Addr, change: Change) -> Vec<(Ipv4Addr, ToMarker)> {
         match change {
             Change::Configuration(document) => return self.put_in_force(from, document),
             Change::Difference(difference) => {
@@ -136,14 +136,14 @@
                 }
                 return vec![(from, ToMarker::RequestFull(self.revision()))];
             }
-            Change::Servers(updates) => self.servers.take(now, updates),
-            Change::Whole => self.is_complete = true,
+            Change::Servers(updates) => self.servers.update(now, updates),
+            Change::InitialSyncComplete => self.is_complete = true,
             Change::Gatekeepers(n, missed) => {
                 self.budget.set_gatekeepers(n);
                 self.tenants.set_gatekeepers(now, n, missed);
             }
-            Change::Recent(recent) => self.tenants.replace_recent_use(now, &recent),
-            Change::Others(increments) => self.tenants.add_others_use(now, &increments),
+            Change::RecentUse(recent) => self.tenants.replace_recent_use(now, &recent),
+            Change::OthersUse(increments) => self.tenants.add_others_use(now, &increments),
         }
         Vec::new()
     }
@@ -172,7 +172,7 @@
                 self.configuration = Some(Rc::new(parsed));
                 let has = ToMarker::InForce(document.revision());
                 self.document = Some(document);
-                self.control.tell_all(&has)
+                self.control.broadcast(&has)
             }
             Err(faults) => {
                 // Markers apply the same validation before they accept a configuration.
@@ -193,7 +193,7 @@
         host: &str,
         path: &str,
         headers: &HeaderMap,
-    ) -> Result<Pass, Refusal> {
+    ) -> Result<AdmittedRequest, Refusal> {
         let Some(configuration) = self.configuration.clone() else { return Err(ErrorKind::NotReady.into()) };
         let route = configuration.route(host, path).ok_or(Refusal::from(ErrorKind::Unknown))?;
         let tenant = if configuration.requires_key {
@@ -229,12 +229,12 @@
             let target_latency = route.target.as_millis() as Millis;
             let usual_latency = self
                 .servers
-                .typical(&service, target_latency)
+                .typical_latency(&service, target_latency)
                 .map_or(target_latency, |usual_latency| usual_latency as Millis);
             deadline =
                 drain.deadline(now, deadline, usual_latency).ok_or(Refusal::from(ErrorKind::Overloaded))?;
         }
-        let pass = Pass {
+        let pass = AdmittedRequest {
             service,
             tenant: tenant.map(|t| t.name.clone()),
             priority: tenant.and_then(|t| t.priority).unwrap_or(route.priority),
@@ -245,9 +245,9 @@
         };
         if let Some(tenant) = tenant {
             if let Some(wait) = self.tenants.rate_limit(now, tenant) {
-                return Err(Refusal { kind: ErrorKind::Quota, wait: Some(wait) });
+                return Err(Refusal { kind: ErrorKind::Quota, retry_after: Some(wait) });
             }
-            self.control.add(&tenant.name);
+            self.control.count_admitted(&tenant.name);
         }
         Ok(pass)
     }
@@ -259,9 +259,9 @@
         ip: Ipv4Addr,
         message: ToGatekeeper,
     ) -> Vec<(Ipv4Addr, ToMarker)> {
-        let (change, mut messages) = self.control.take(now, ip, message);
+        let (change, mut messages) = self.control.on_message(now, ip, message);
         if let Some(change) = change {
-            messages.extend(self.take(now, ip, change));
+            messages.extend(self.apply(now, ip, change));
         }
         self.apply_deferred(now, &mut messages);
         messages
@@ -269,28 +269,28 @@
 
     /// Applies the changes that were deferred and are due now.
     fn apply_deferred(&mut self, now: Millis, messages: &mut Vec<(Ipv4Addr, ToMarker)>) {
-        while let Some((ip, change)) = self.control.due() {
-            messages.extend(self.take(now, ip, change));
+        while let Some((ip, change)) = self.control.next_deferred() {
+            messages.extend(self.apply(now, ip, change));
         }
     }
 
     /// Runs the periodic work: updates the sessions' state and whether this gatekeeper is in sync. Returns
     /// the messages to send, among them the report of admitted requests.
     pub fn on_tick(&mut self, now: Millis) -> Vec<(Ipv4Addr, ToMarker)> {
-        let mut messages = self.control.look(now);
+        let mut messages = self.control.on_tick(now);
         self.apply_deferred(now, &mut messages);
         if let Some((all, missed)) = self.control.gatekeepers() {
             self.budget.set_gatekeepers(all);
             self.tenants.set_gatekeepers(now, all, missed);
         }
         self.tenants.set_in_sync(now, self.control.in_sync(now));
-        messages.extend(self.control.batch(now));
+        messages.extend(self.control.usage_report(now));
         messages
     }
 
     /// The retry delay after a refusal, ms: the time that is known to be needed, or else a part of the target
     /// latency; with random jitter, so that clients don't come back at the same time.
-    pub fn come_back(&mut self, target_latency: Millis, wait: Option<Millis>) -> Millis {
+    pub fn retry_delay(&mut self, target_latency: Millis, wait: Option<Millis>) -> Millis {
         let min_delay = wait.unwrap_or((target_latency / 8).clamp(5, 250));
         min_delay + self.rng.u64(0..=(target_latency / 4).clamp(10, 500))
     }
--- a/crates/proxy/src/handler.rs
+++ b/crates/proxy/src/handler.rs
@@ -1,7 +1,7 @@
 //! Handles one request: admission, reading the body, forwarding, and its one response.
 
 use crate::forward::forward;
-use crate::gate::Pass;
+use crate::gate::AdmittedRequest;
 use crate::messages::ResponseBody;
 use crate::pool::header_names;
 use crate::shared_state::SharedState;
@@ -43,9 +43,9 @@
 struct OpenTenantRequest<'f>(&'f SharedState, Option<String>);
 
 impl<'f> OpenTenantRequest<'f> {
-    fn begin(shared: &'f SharedState, pass: &Pass) -> OpenTenantRequest<'f> {
+    fn begin(shared: &'f SharedState, pass: &AdmittedRequest) -> OpenTenantRequest<'f> {
         if let Some(tenant) = &pass.tenant {
-            shared.gate.borrow_mut().tenants.open(tenant, 1.0);
+            shared.gate.borrow_mut().tenants.add_open_requests(tenant, 1.0);
         }
         OpenTenantRequest(shared, pass.tenant.clone())
     }
@@ -54,7 +54,7 @@
 impl Drop for OpenTenantRequest<'_> {
     fn drop(&mut self) {
         if let Some(tenant) = &self.1 {
-            self.0.gate.borrow_mut().tenants.open(tenant, -1.0);
+            self.0.gate.borrow_mut().tenants.add_open_requests(tenant, -1.0);
         }
     }
 }
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,6 +1,6 @@
 //! Conversion of requests and responses between clients and servers.
 
-use crate::gate::Pass;
+use crate::gate::AdmittedRequest;
 use crate::pool::{header_names, Body, ServerResponse};
 use crate::Millis;
 use bytes::Bytes;
@@ -52,7 +52,7 @@
 pub fn build_server_request(
     parts: &Parts,
     body: Bytes,
-    pass: &Pass,
+    pass: &AdmittedRequest,
     instance: &str,
     time_left: Millis,
 ) -> Request<Full<Bytes>> {
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -208,7 +208,7 @@
             let left = time.saturating_sub(started_at.elapsed());
             let sent = connection.sender.try_send_request(request);
             let response = match tokio::time::timeout(left, sent).await {
-                Err(_) => return (Outcome::Silent, None),
+                Err(_) => return (Outcome::TimedOut, None),
                 Ok(Err(mut e)) => match e.take_message() {
                     // hyper returns a request that it has not started; it is unsent only if no bytes were
                     // written.
@@ -223,7 +223,7 @@
             let left = time.saturating_sub(started_at.elapsed());
             let read = tokio::time::timeout(left, read_response(response, id, first_on_connection)).await;
             let (outcome, response, complete) = match read {
-                Err(_) => return (Outcome::Silent, None),
+                Err(_) => return (Outcome::TimedOut, None),
                 Ok(None) => return (Outcome::Broken, None),
                 Ok(Some(read)) => read,
             };
@@ -364,7 +364,7 @@
     }
     let outcome = match status {
         421 => Outcome::Misdirected,
-        _ if not_executed => Outcome::TurnedAway,
+        _ if not_executed => Outcome::Rejected,
         _ => Outcome::Answer(status),
     };
     let head = Response::from_parts(parts, ());
--- a/crates/proxy/src/request_state.rs
+++ b/crates/proxy/src/request_state.rs
@@ -4,7 +4,7 @@
 //! executed. Each request is answered exactly once, as soon as its outcome is known; 429 and 503 are only
 //! returned for requests that weren't and won't be executed.
 
-use crate::servers::Sign;
+use crate::servers::Observation;
 use crate::Millis;
 use granitelead_common::configuration::RetrySafety;
 use granitelead_common::error_kinds::ErrorKind;
@@ -24,7 +24,7 @@
     /// A complete answer from the intended server, with its status.
     Answer(u16),
     /// The server states that it didn't execute the request.
-    TurnedAway,
+    Rejected,
     /// Another server is at the address; it didn't execute the request.
     Misdirected,
     /// Nothing was sent.
@@ -32,7 +32,7 @@
     /// The request was sent, and no complete answer was received.
     Broken,
     /// The request was sent, and nothing was received in time.
-    Silent,
+    TimedOut,
 }
 
 /// The next step of a request.
@@ -41,7 +41,7 @@
     /// Select a server for another attempt.
     Send,
     /// Forward the answer that was received.
-    Pass,
+    Forward,
     /// Answer with this error.
     End(ErrorKind),
 }
@@ -52,33 +52,33 @@
     /// Whether the request may be executed more than once.
     pub repeats: RetrySafety,
     /// When it was received.
-    pub begun: Millis,
+    pub received_at: Millis,
     /// When it must be answered.
     pub deadline: Millis,
     /// The target latency, ms.
-    pub aim: Millis,
+    pub target_latency: Millis,
     /// Maximum number of attempts.
     pub attempts: u32,
     /// The servers that were tried.
     pub tried: Vec<Rc<str>>,
     /// Whether any server may have executed it.
-    pub may_have_run: bool,
+    pub may_have_executed: bool,
 }
 
 impl RequestState {
     /// Until when the request may wait for a server with free capacity.
-    pub fn hold_until(&self) -> Millis {
-        (self.begun + (self.aim as f64 * QUEUE_FRACTION) as Millis).min(self.deadline)
+    pub fn queue_until(&self) -> Millis {
+        (self.received_at + (self.target_latency as f64 * QUEUE_FRACTION) as Millis).min(self.deadline)
     }
 
     /// What an attempt that took this long shows about its server.
-    pub fn sign(outcome: &Outcome, took: Millis) -> Sign {
+    pub fn observation(outcome: &Outcome, took: Millis) -> Observation {
         match outcome {
-            Outcome::Answer(200..=299) => Sign::Good(took),
-            Outcome::Answer(500..) | Outcome::Broken | Outcome::Silent => Sign::Failed,
-            Outcome::Answer(_) => Sign::Nothing,
-            Outcome::TurnedAway => Sign::Full,
-            Outcome::Misdirected | Outcome::NotSent => Sign::Absent,
+            Outcome::Answer(200..=299) => Observation::Success(took),
+            Outcome::Answer(500..) | Outcome::Broken | Outcome::TimedOut => Observation::Failed,
+            Outcome::Answer(_) => Observation::Neutral,
+            Outcome::Rejected => Observation::AtCapacity,
+            Outcome::Misdirected | Outcome::NotSent => Observation::Unreachable,
         }
     }
 
@@ -91,22 +91,22 @@
         usual: f64,
         budget: impl FnOnce() -> bool,
     ) -> Next {
-        let may_have_run = matches!(outcome, Outcome::Answer(_) | Outcome::Broken | Outcome::Silent);
-        self.may_have_run |= may_have_run;
+        let may_have_executed = matches!(outcome, Outcome::Answer(_) | Outcome::Broken | Outcome::TimedOut);
+        self.may_have_executed |= may_have_executed;
         let failed = match outcome {
             Outcome::Answer(status) => *status >= 500,
             _ => true,
         };
         if !failed {
-            return Next::Pass;
+            return Next::Forward;
         }
-        let allowed = self.repeats == RetrySafety::Idempotent || !self.may_have_run;
+        let allowed = self.repeats == RetrySafety::Idempotent || !self.may_have_executed;
         if allowed && self.has_time_for_retry(now, usual) && self.has_attempts() && budget() {
             return Next::Send;
         }
         match outcome {
-            Outcome::Answer(_) => Next::Pass,
-            _ => Next::End(self.ending(now)),
+            Outcome::Answer(_) => Next::Forward,
+            _ => Next::End(self.final_error(now)),
         }
     }
 
@@ -120,7 +120,7 @@
 
     /// Whether to send a hedged request to another server while the overdue one continues; the first answer
     /// is forwarded. `usual` and `budget` are as in [`RequestState::on_outcome`].
-    pub fn hedges(&self, now: Millis, usual: f64, budget: impl FnOnce() -> bool) -> bool {
+    pub fn should_hedge(&self, now: Millis, usual: f64, budget: impl FnOnce() -> bool) -> bool {
         self.may_hedge() && self.has_time_for_retry(now, usual) && budget()
     }
 
@@ -137,8 +137,8 @@
     }
 
     /// The error to answer with if no server's answer is forwarded.
-    pub fn ending(&self, now: Millis) -> ErrorKind {
-        match (self.may_have_run, now >= self.deadline) {
+    pub fn final_error(&self, now: Millis) -> ErrorKind {
+        match (self.may_have_executed, now >= self.deadline) {
             (false, _) => ErrorKind::Overloaded,
             (true, false) => ErrorKind::Upstream,
             (true, true) => ErrorKind::Deadline,
@@ -153,20 +153,28 @@
 
     fn request(repeats: RetrySafety) -> RequestState {
         let tried = vec!["a".into()];
-        RequestState { repeats, begun: 0, deadline: 600, aim: 250, attempts: 2, tried, may_have_run: false }
+        RequestState {
+            repeats,
+            received_at: 0,
+            deadline: 600,
+            target_latency: 250,
+            attempts: 2,
+            tried,
+            may_have_executed: false,
+        }
     }
 
     #[gtest]
     fn a_non_repeatable_request_is_retried_only_if_it_certainly_was_not_executed() {
         for (outcome, once, safe) in [
-            (Outcome::Answer(200), Next::Pass, Next::Pass),
-            (Outcome::Answer(404), Next::Pass, Next::Pass),
-            (Outcome::Answer(500), Next::Pass, Next::Send),
-            (Outcome::TurnedAway, Next::Send, Next::Send),
+            (Outcome::Answer(200), Next::Forward, Next::Forward),
+            (Outcome::Answer(404), Next::Forward, Next::Forward),
+            (Outcome::Answer(500), Next::Forward, Next::Send),
+            (Outcome::Rejected, Next::Send, Next::Send),
             (Outcome::Misdirected, Next::Send, Next::Send),
             (Outcome::NotSent, Next::Send, Next::Send),
             (Outcome::Broken, Next::End(ErrorKind::Upstream), Next::Send),
-            (Outcome::Silent, Next::End(ErrorKind::Upstream), Next::Send),
+            (Outcome::TimedOut, Next::End(ErrorKind::Upstream), Next::Send),
         ] {
             let next = request(RetrySafety::AtMostOnce).on_outcome(100, &outcome, 50.0, || true);
             expect_that!(next, eq(&once), "{outcome:?}");
@@ -180,7 +188,7 @@
         let mut all_tried = request(RetrySafety::Idempotent);
         all_tried.tried.push("b".into());
         expect_that!(
-            all_tried.on_outcome(100, &Outcome::TurnedAway, 50.0, || true),
+            all_tried.on_outcome(100, &Outcome::Rejected, 50.0, || true),
             eq(&Next::End(ErrorKind::Overloaded))
         );
         expect_that!(
@@ -188,7 +196,7 @@
             eq(&Next::End(ErrorKind::Upstream))
         );
         expect_that!(
-            all_tried.on_outcome(100, &Outcome::TurnedAway, 50.0, || true),
+            all_tried.on_outcome(100, &Outcome::Rejected, 50.0, || true),
             eq(&Next::End(ErrorKind::Upstream))
         );
         let mut late = request(RetrySafety::Idempotent);
@@ -197,12 +205,12 @@
             eq(&Next::End(ErrorKind::Overloaded))
         );
         expect_that!(
-            late.on_outcome(600, &Outcome::Silent, 50.0, || true),
+            late.on_outcome(600, &Outcome::TimedOut, 50.0, || true),
             eq(&Next::End(ErrorKind::Deadline))
         );
         let mut without_budget = request(RetrySafety::Idempotent);
         expect_that!(
-            without_budget.on_outcome(100, &Outcome::TurnedAway, 50.0, || false),
+            without_budget.on_outcome(100, &Outcome::Rejected, 50.0, || false),
             eq(&Next::End(ErrorKind::Overloaded))
         );
     }
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -89,7 +89,7 @@
         () = run_housekeeping(&shared, &connections, hang_up) => {}
     }
     let report = shut_down(&shared, &connections, &stop_accepting, settings.bounds.grace).await;
-    sessions.leave().await;
+    sessions.announce_shutdown().await;
     granitelead_common::logs::write_line(&format!(
         "granitelead-proxy: exits: {report}; aborted attempts: {}",
         shared.aborts
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub struct Server {
     /// Its latest reported state.
-    pub told: Instance,
+    pub instance: Instance,
     /// Requests in flight from this gatekeeper.
     pub in_flight: u32,
     relative_latency: f64,
@@ -46,17 +46,17 @@
 
 /// What the end of a request shows about its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum Observation {
     /// A successful answer, after this many ms.
-    Good(Millis),
+    Success(Millis),
     /// The server turned the request away because it is at capacity.
-    Full,
+    AtCapacity,
     /// Another server is at the address, or the connection failed.
-    Absent,
+    Unreachable,
     /// The server broke the connection, sent an invalid answer, or reported a failure.
     Failed,
     /// Nothing about the server.
-    Nothing,
+    Neutral,
 }
 
 /// All servers, by service.
@@ -82,15 +82,15 @@
     }
 
     /// Applies the updates that a marker sent.
-    pub fn take(&mut self, now: Millis, told: Vec<Instance>) {
-        for update in told {
+    pub fn update(&mut self, now: Millis, updates: Vec<Instance>) {
+        for update in updates {
             let id: Rc<str> = update.id.as_str().into();
             let Some(server) = self.by_id.get_mut(&id) else {
                 if update.state != InstanceState::Gone {
                     self.services.entry(update.service.clone()).or_default().insert(id.clone());
                     let cold_until = now + update.cold_ms;
                     let server = Server {
-                        told: update,
+                        instance: update,
                         in_flight: 0,
                         relative_latency: 1.0,
                         answered_at: None,
@@ -103,7 +103,7 @@
                 }
                 continue;
             };
-            if (update.sequence, update.state) <= (server.told.sequence, server.told.state) {
+            if (update.sequence, update.state) <= (server.instance.sequence, server.instance.state) {
                 continue;
             }
             // An answer received here outweighs missed heartbeats at a marker; a server that deregistered has
@@ -112,16 +112,16 @@
             if silent && server.answered_at.is_some_and(|at| now < at + ANSWER_VALIDITY) {
                 continue;
             }
-            server.told.update(update);
+            server.instance.update(update);
             server.gone_at = now;
         }
         let is_forgotten = |s: &Server| {
-            s.told.state == InstanceState::Gone && s.in_flight == 0 && now >= s.gone_at + GONE_RETENTION
+            s.instance.state == InstanceState::Gone && s.in_flight == 0 && now >= s.gone_at + GONE_RETENTION
         };
         self.by_id.retain(|id, server| {
             let keeps = !is_forgotten(server);
             if !keeps {
-                if let Some(ids) = self.services.get_mut(&server.told.service) {
+                if let Some(ids) = self.services.get_mut(&server.instance.service) {
                     ids.remove(id);
                 }
             }
@@ -133,8 +133,8 @@
     pub fn all(&self) -> Vec<Instance> {
         self.by_id
             .values()
-            .map(|s| &s.told)
-            .filter(|told| told.state != InstanceState::Gone)
+            .map(|s| &s.instance)
+            .filter(|instance| instance.state != InstanceState::Gone)
             .cloned()
             .collect()
     }
@@ -142,7 +142,7 @@
     /// The number of ready servers of a service.
     pub fn ready(&self, service: &str) -> usize {
         let ids = self.services.get(service).into_iter().flatten();
-        ids.filter(|id| self.by_id.get(*id).is_some_and(|s| s.told.state == InstanceState::Ready)).count()
+        ids.filter(|id| self.by_id.get(*id).is_some_and(|s| s.instance.state == InstanceState::Ready)).count()
     }
 
     /// The server with this incarnation id.
@@ -152,9 +152,9 @@
 
     /// The expected latency of a request at a server, relative to its service.
     fn expected_latency(&self, server: &Server, now: Millis) -> f64 {
-        let slots = f64::from(server.told.slots.max(1));
+        let slots = f64::from(server.instance.slots.max(1));
         let load = (f64::from(server.in_flight) + 1.0) / slots;
-        let zone = if server.told.zone == self.zone { 1.0 } else { CROSS_ZONE_FACTOR };
+        let zone = if server.instance.zone == self.zone { 1.0 } else { CROSS_ZONE_FACTOR };
         let cold = if now < server.cold_until { COLD_FACTOR } else { 1.0 };
         server.relative_latency * cold * zone * (0.5 + load)
     }
@@ -166,9 +166,9 @@
         let ready: Vec<(&Rc<str>, &Server)> = ids
             .iter()
             .filter_map(|id| self.by_id.get(id).map(|server| (id, server)))
-            .filter(|(id, s)| s.told.state == InstanceState::Ready && !tried.contains(*id))
+            .filter(|(id, s)| s.instance.state == InstanceState::Ready && !tried.contains(*id))
             .collect();
-        let has_capacity = |s: &Server| f64::from(s.in_flight) < f64::from(s.told.slots) * IN_FLIGHT_MAX;
+        let has_capacity = |s: &Server| f64::from(s.in_flight) < f64::from(s.instance.slots) * IN_FLIGHT_MAX;
         let healthy: Vec<&(&Rc<str>, &Server)> = ready.iter().filter(|(_, s)| now >= s.avoid_until).collect();
         // If more than half of a service's servers seem to fail, the cause is probably elsewhere: failures
         // are ignored.
@@ -176,8 +176,8 @@
             if healthy.len() * 2 >= ready.len() { healthy } else { ready.iter().collect() };
         let available: Vec<_> = candidates.into_iter().filter(|(_, s)| has_capacity(s)).collect();
         let weight = |s: &Server| {
-            let zone = if s.told.zone == self.zone { 1.0 } else { 0.12 };
-            zone * f64::from(s.told.slots) / s.relative_latency.max(0.05)
+            let zone = if s.instance.zone == self.zone { 1.0 } else { 0.12 };
+            zone * f64::from(s.instance.slots) / s.relative_latency.max(0.05)
         };
         let sum: f64 = available.iter().map(|(_, s)| weight(s)).sum();
         let mut draw = || {
@@ -204,43 +204,43 @@
     }
 
     /// Records that a request with this target latency has ended at a server.
-    pub fn end(&mut self, now: Millis, id: &str, sign: Sign, aim: Millis) {
+    pub fn end(&mut self, now: Millis, id: &str, observation: Observation, aim: Millis) {
         if let Some(server) = self.by_id.get_mut(id) {
             server.in_flight = server.in_flight.saturating_sub(1);
         }
-        self.observe(now, id, sign, aim);
+        self.observe(now, id, observation, aim);
     }
 
     /// Updates the statistics of a server from a request with this target latency, which may still be in
     /// flight. Mean latencies are kept per latency class: otherwise the servers of a service that answers
     /// searches in 1 s and payments in 0.1 s would look fast or slow depending on the requests they got.
-    pub fn observe(&mut self, now: Millis, id: &str, sign: Sign, aim: Millis) {
+    pub fn observe(&mut self, now: Millis, id: &str, observation: Observation, aim: Millis) {
         let Some(server) = self.by_id.get_mut(id) else { return };
-        match sign {
-            Sign::Good(took) => {
+        match observation {
+            Observation::Success(took) => {
                 (server.answered_at, server.failures) = (Some(now), 0);
                 let cold = if now < server.cold_until { COLD_FACTOR } else { 1.0 };
                 let took = took.max(1) as f64 / cold;
-                let classes = self.typical.entry(server.told.service.clone()).or_default();
+                let classes = self.typical.entry(server.instance.service.clone()).or_default();
                 let typical = classes.entry(latency_class(aim)).or_insert(took);
                 server.relative_latency +=
                     ((took / *typical).clamp(0.1, 10.0) - server.relative_latency) * LEARNING_RATES.0;
                 *typical += (took - *typical) * LEARNING_RATES.1;
             }
-            Sign::Full => server.avoid_until = server.avoid_until.max(now + AVOIDANCE.0 / 10),
-            Sign::Absent | Sign::Failed => {
+            Observation::AtCapacity => server.avoid_until = server.avoid_until.max(now + AVOIDANCE.0 / 10),
+            Observation::Unreachable | Observation::Failed => {
                 let span = AVOIDANCE.0 << server.failures.min(AVOIDANCE.1);
-                if sign == Sign::Absent || server.failures > 0 {
+                if observation == Observation::Unreachable || server.failures > 0 {
                     server.avoid_until = now + span;
                 }
                 server.failures += 1;
             }
-            Sign::Nothing => {}
+            Observation::Neutral => {}
         }
     }
 
     /// Mean latency of a service's successful answers to requests with this target latency, ms, if known.
-    pub fn typical(&self, service: &str, aim: Millis) -> Option<f64> {
+    pub fn typical_latency(&self, service: &str, aim: Millis) -> Option<f64> {
         self.typical.get(service)?.get(&latency_class(aim)).copied()
     }
 }
@@ -250,7 +250,7 @@
     use super::*;
     use googletest::prelude::*;
 
-    fn told(id: &str, zone: &str, sequence: u64, state: InstanceState) -> Instance {
+    fn instance(id: &str, zone: &str, sequence: u64, state: InstanceState) -> Instance {
         Instance {
             id: id.into(),
             service: "s".into(),
@@ -266,7 +266,8 @@
 
     fn servers(zones: &[(&str, &str)]) -> Servers {
         let mut servers = Servers::new("a", 1);
-        servers.take(0, zones.iter().map(|(id, zone)| told(id, zone, 1, InstanceState::Ready)).collect());
+        servers
+            .update(0, zones.iter().map(|(id, zone)| instance(id, zone, 1, InstanceState::Ready)).collect());
         servers
     }
 
@@ -295,14 +296,14 @@
         for _ in 0..30 {
             for (id, took) in [("x", 50), ("y", 50), ("z", 400)] {
                 servers.begin(id);
-                servers.end(1_000, id, Sign::Good(took), 250);
+                servers.end(1_000, id, Observation::Success(took), 250);
             }
         }
         expect_that!(picks(&mut servers, 1_000).get("z"), none());
-        servers.end(1_000, "x", Sign::Absent, 250);
+        servers.end(1_000, "x", Observation::Unreachable, 250);
         expect_that!(picks(&mut servers, 1_000), eq(&BTreeMap::from([(Rc::from("y"), 200)])));
         expect_that!(servers.pick(1_000, "s", &["y".into()]).as_deref(), some(eq("z")));
-        servers.take(1_000, vec![told("y", "a", 2, InstanceState::Draining)]);
+        servers.update(1_000, vec![instance("y", "a", 2, InstanceState::Draining)]);
         expect_that!(servers.ready("s"), eq(2));
         expect_that!(picks(&mut servers, 1_000), eq(&BTreeMap::from([(Rc::from("z"), 200)])));
     }
@@ -311,10 +312,10 @@
     fn a_server_that_answers_here_is_kept_when_a_marker_misses_its_heartbeats() {
         let mut servers = servers(&[("x", "a")]);
         servers.begin("x");
-        servers.end(1_000, "x", Sign::Good(10), 250);
-        servers.take(2_000, vec![told("x", "a", 1, InstanceState::Gone)]);
+        servers.end(1_000, "x", Observation::Success(10), 250);
+        servers.update(2_000, vec![instance("x", "a", 1, InstanceState::Gone)]);
         expect_that!(servers.ready("s"), eq(1));
-        servers.take(2_000, vec![told("x", "a", u64::MAX, InstanceState::Gone)]);
+        servers.update(2_000, vec![instance("x", "a", u64::MAX, InstanceState::Gone)]);
         expect_that!(servers.ready("s"), eq(0));
         expect_true!(servers.all().is_empty());
     }
@@ -326,11 +327,11 @@
             // Both servers are equally fast; one gets all slow requests.
             for (id, took, aim) in [("x", 900, 2_500), ("y", 150, 500)] {
                 servers.begin(id);
-                servers.end(1_000, id, Sign::Good(took), aim);
+                servers.end(1_000, id, Observation::Success(took), aim);
             }
         }
         expect_that!(picks(&mut servers, 1_000)[&Rc::from("x")], all!(ge(60), le(140)));
-        expect_that!(servers.typical("s", 2_500), some(near(900.0, 1.0)));
-        expect_that!(servers.typical("s", 500), some(near(150.0, 1.0)));
+        expect_that!(servers.typical_latency("s", 2_500), some(near(900.0, 1.0)));
+        expect_that!(servers.typical_latency("s", 500), some(near(150.0, 1.0)));
     }
 }
--- a/crates/proxy/src/sessions.rs
+++ b/crates/proxy/src/sessions.rs
@@ -12,13 +12,13 @@
 use tokio::task::spawn_local;
 
 /// Interval of reports of admitted requests and of checks whether sessions are needed.
-pub const BATCH: Duration = Duration::from_millis(50);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 /// Ping interval of the session with the attached marker.
-pub const PING: Duration = Duration::from_millis(150);
+pub const PING_INTERVAL: Duration = Duration::from_millis(150);
 /// Ping interval of the other sessions.
-pub const PING_OTHER: Duration = Duration::from_millis(550);
+pub const PING_INTERVAL_OTHER: Duration = Duration::from_millis(550);
 /// A session on which nothing was received for this long is closed: three pings would have been answered.
-pub const SILENCE: Duration = Duration::from_millis(1_800);
+pub const SESSION_TIMEOUT: Duration = Duration::from_millis(1_800);
 
 /// Maximum time that shutdown waits for its last messages to be sent.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
@@ -58,12 +58,12 @@
             if is_ready && !was_ready {
                 self.shared.marker_updates.notify_waiters();
             }
-            tokio::time::sleep(BATCH).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
         }
     }
 
     /// Tells all markers that the process ends; completes once this is sent, or after a short timeout.
-    pub async fn leave(&self) {
+    pub async fn announce_shutdown(&self) {
         let senders: Vec<Sender> = self.senders.borrow().values().cloned().collect();
         for sender in &senders {
             sender.send(&Message::ToMarker(ToMarker::Leave));
@@ -87,7 +87,7 @@
     fn adjust_sessions(self: &Rc<Self>) {
         let wanted = {
             let connecting = self.connecting.borrow();
-            self.shared.gate.borrow_mut().control.wanted(&connecting)
+            self.shared.gate.borrow_mut().control.next_marker(&connecting)
         };
         if let Some(ip) = self.shared.gate.borrow().control.surplus() {
             self.senders.borrow().get(&ip).iter().for_each(|sender| sender.close());
@@ -123,14 +123,15 @@
         self.connecting.borrow_mut().remove(&ip);
         sender.send(&Message::ToMarker(hello));
         let sessions = self.clone();
-        let transport =
-            connection::run(stream, sender.clone(), SILENCE, move |message| sessions.on_message(ip, message));
+        let transport = connection::run(stream, sender.clone(), SESSION_TIMEOUT, move |message| {
+            sessions.on_message(ip, message)
+        });
         let pings = async {
             let mut pinged_at = Instant::now();
             loop {
-                tokio::time::sleep(PING).await;
-                let is_attached = self.shared.gate.borrow().control.home() == Some(ip);
-                if is_attached || pinged_at.elapsed() >= PING_OTHER {
+                tokio::time::sleep(PING_INTERVAL).await;
+                let is_attached = self.shared.gate.borrow().control.attached_marker() == Some(ip);
+                if is_attached || pinged_at.elapsed() >= PING_INTERVAL_OTHER {
                     pinged_at = Instant::now();
                     sender.send(&Message::ToMarker(ToMarker::Ping));
                 }
--- a/crates/proxy/src/shared_state.rs
+++ b/crates/proxy/src/shared_state.rs
@@ -2,7 +2,7 @@
 
 use crate::aborts::AbortCounts;
 use crate::drain::Drain;
-use crate::gate::{Gate, Pass, Refusal};
+use crate::gate::{AdmittedRequest, Gate, Refusal};
 use crate::messages::{full_body, ResponseBody};
 use crate::pool::ConnectionPool;
 use crate::Millis;
@@ -97,12 +97,12 @@
     }
 
     /// The error response of this kind, for a request that gets no response from a server.
-    pub fn refuse(&self, kind: ErrorKind, pass: Option<&Pass>) -> Response<ResponseBody> {
+    pub fn refuse(&self, kind: ErrorKind, pass: Option<&AdmittedRequest>) -> Response<ResponseBody> {
         self.refuse_for(kind.into(), pass)
     }
 
     /// Like [`SharedState::refuse`], with `Retry-After` computed from the refusal's wait.
-    pub fn refuse_for(&self, refusal: Refusal, pass: Option<&Pass>) -> Response<ResponseBody> {
+    pub fn refuse_for(&self, refusal: Refusal, pass: Option<&AdmittedRequest>) -> Response<ResponseBody> {
         let error_response = refusal.kind.response();
         let mut response = Response::new(full_body(Bytes::from(format!(
             "{}: {}\n",
@@ -111,7 +111,7 @@
         *response.status_mut() = hyper::StatusCode::from_u16(error_response.status).unwrap_or_default();
         if error_response.not_executed {
             let target_latency = pass.map_or(200, |pass| pass.route().target.as_millis() as Millis);
-            let wait = self.gate.borrow_mut().come_back(target_latency, refusal.wait);
+            let wait = self.gate.borrow_mut().retry_delay(target_latency, refusal.retry_after);
             let text = format!("{:.3}", wait as f64 / 1e3);
             if let Ok(value) = HeaderValue::from_str(&text) {
                 response.headers_mut().insert(RETRY_AFTER, value);
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -131,7 +131,7 @@
 
     fn status(&self) -> TenantStatus {
         let (admitted, refused) = (self.admitted, self.refused);
-        TenantStatus { admitted, refused, level: self.customer.left(), room: self.allowance }
+        TenantStatus { admitted, refused, level: self.customer.left(), allowance: self.allowance }
     }
 
     /// The share of the bucket that may be taken here: the mean of this gatekeeper's share of recent requests
@@ -163,7 +163,7 @@
     /// Requests that remain for all gatekeepers in sync, as far as known here.
     pub level: f64,
     /// Requests that may be admitted here until the next update of the others' usage.
-    pub room: f64,
+    pub allowance: f64,
 }
 
 /// How a gatekeeper takes part in the shared quotas.
@@ -172,16 +172,16 @@
     /// Gatekeepers that share each quota.
     pub gatekeepers: u32,
     /// How many of them are missing.
-    pub missed: u32,
+    pub missing: u32,
     /// Whether the usage of the other gatekeepers is known.
-    pub in_touch: bool,
+    pub in_sync: bool,
 }
 
 /// The tenants as counted by one gatekeeper.
 pub struct Tenants {
     table: HashMap<String, Entry>,
     gatekeepers: u32,
-    missed: u32,
+    missing: u32,
     in_sync: bool,
     /// Recent usage by all reachable gatekeepers including this one; not maintained while out of sync.
     recent: RecentUse,
@@ -202,7 +202,7 @@
         Tenants {
             table: HashMap::new(),
             gatekeepers: GATEKEEPERS_ASSUMED,
-            missed: 0,
+            missing: 0,
             in_sync: false,
             recent: RecentUse::new(window, 0),
             alone_since: 0,
@@ -214,10 +214,10 @@
 
     /// Sets how many gatekeepers share each quota and how many of them are missing. Those that have just
     /// become missing admitted their share without reports for a while before: this is deducted.
-    pub fn set_gatekeepers(&mut self, now: Millis, gatekeepers: u32, missed: u32) {
+    pub fn set_gatekeepers(&mut self, now: Millis, gatekeepers: u32, missing: u32) {
         self.recent.grant(now, self.part());
-        let more = missed.saturating_sub(self.missed);
-        (self.gatekeepers, self.missed) = (gatekeepers.max(1), missed);
+        let more = missing.saturating_sub(self.missing);
+        (self.gatekeepers, self.missing) = (gatekeepers.max(1), missing);
         if more > 0 && self.in_sync {
             let unreported = UNREPORTED_S * f64::from(more) / f64::from(self.gatekeepers);
             self.table.values_mut().for_each(|entry| entry.deduct(entry.plan.rate * unreported));
@@ -298,7 +298,7 @@
     fn part(&self) -> f64 {
         let all = f64::from(self.gatekeepers);
         if self.in_sync {
-            (all - f64::from(self.missed)).max(1.0) / all
+            (all - f64::from(self.missing)).max(1.0) / all
         } else {
             1.0 / all
         }
@@ -306,7 +306,7 @@
 
     fn sharers(&self) -> f64 {
         if self.in_sync {
-            f64::from(self.gatekeepers.saturating_sub(self.missed).max(1))
+            f64::from(self.gatekeepers.saturating_sub(self.missing).max(1))
         } else {
             1.0
         }
@@ -387,7 +387,7 @@
 
     /// How this gatekeeper takes part in the shared quotas.
     pub fn membership(&self) -> Membership {
-        Membership { gatekeepers: self.gatekeepers, missed: self.missed, in_touch: self.in_sync }
+        Membership { gatekeepers: self.gatekeepers, missing: self.missing, in_sync: self.in_sync }
     }
 
     /// The state that decides on a tenant's next request, if the tenant is in the table.
@@ -405,7 +405,7 @@
     }
 
     /// Changes the number of a tenant's open requests.
-    pub fn open(&mut self, tenant: &str, by: f64) {
+    pub fn add_open_requests(&mut self, tenant: &str, by: f64) {
         if let Some(entry) = self.table.get_mut(tenant) {
             entry.customer.open = (entry.customer.open + by).max(0.0);
         }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -556,7 +556,7 @@
         }
         let Some(gate) = self.gatekeepers[g].gate.as_mut() else { return };
         let batch = gate.on_tick(now);
-        let (surplus, wanted) = (gate.control.surplus(), gate.control.wanted(&BTreeSet::new()));
+        let (surplus, wanted) = (gate.control.surplus(), gate.control.next_marker(&BTreeSet::new()));
         self.send(g, batch);
         if let Some(m) = surplus.and_then(|ip| self.marker_at(ip)) {
             self.close_at_gatekeeper(g, m);
@@ -592,7 +592,7 @@
                 continue;
             }
             if gate.tenants.rate_limit(now, &tenant).is_none() {
-                gate.control.add("t");
+                gate.control.count_admitted("t");
                 self.admitted.push(now);
                 self.admitted_by.push(g);
             } else {
@@ -877,7 +877,8 @@
                 assert_eq!(has, version.parse().ok(), "{name} at {now}");
             }
             ["home", name, of] => {
-                let attached = self.gate_named(name).control.home().and_then(|ip| self.marker_at(ip));
+                let attached =
+                    self.gate_named(name).control.attached_marker().and_then(|ip| self.marker_at(ip));
                 if let Some(not) = of.strip_prefix('!') {
                     assert!(
                         attached.is_some() && attached != Some(self.index(not)),
--- a/crates/proxy/tests/contact.rs
+++ b/crates/proxy/tests/contact.rs
@@ -662,7 +662,7 @@
             // A gatekeeper that has been connected for as long as the rules require knows each acknowledged
             // drain.
             for (id, at) in &self.drains {
-                let state = gate.servers.get(id).map_or(InstanceState::Gone, |s| s.told.state);
+                let state = gate.servers.get(id).map_or(InstanceState::Gone, |s| s.instance.state);
                 assert!(
                     state != InstanceState::Ready,
                     "g{} does not know the drain of {id}, of {at}, at {now}",
@@ -673,7 +673,7 @@
             for server in self.servers.iter().filter(|s| s.state == ServerState::Ready) {
                 let sends_heartbeats = server.last_heartbeat.is_some_and(|at| now < at + 1_600)
                     && server.heartbeats_since.is_some_and(|at| now > at + 3_500);
-                let known = gate.servers.get(&server.id).map(|s| s.told.state);
+                let known = gate.servers.get(&server.id).map(|s| s.instance.state);
                 assert!(
                     !sends_heartbeats || known == Some(InstanceState::Ready),
                     "g{} misses {} at {now}: {known:?}",
--- a/crates/proxy/tests/history.rs
+++ b/crates/proxy/tests/history.rs
@@ -162,7 +162,7 @@
     other.push(b' ');
     let (now, ip) = (simulation.now, simulation.markers[0].ip);
     let gate = simulation.gatekeepers[1].gate.as_mut().unwrap();
-    let messages = gate.take(now, ip, Change::Configuration(Document { version: 2, bytes: other.clone() }));
+    let messages = gate.apply(now, ip, Change::Configuration(Document { version: 2, bytes: other.clone() }));
     expect_that!(messages.len(), eq(3));
     (simulation.bytes, simulation.bytes_between) = ((0, 0), 0);
     simulation.replace(3);
@@ -175,7 +175,7 @@
     let back = Difference::between(&old, &older).unwrap();
     let gate = simulation.gatekeepers[1].gate.as_mut().unwrap();
     let has = ToMarker::InForce(gate.revision().unwrap());
-    expect_that!(gate.take(now, ip, Change::Configuration(old)), eq(&vec![(ip, has.clone())]));
-    expect_that!(gate.take(now, ip, Change::Difference(back)), eq(&vec![(ip, has)]));
+    expect_that!(gate.apply(now, ip, Change::Configuration(old)), eq(&vec![(ip, has.clone())]));
+    expect_that!(gate.apply(now, ip, Change::Difference(back)), eq(&vec![(ip, has)]));
     simulation.assert_all_have(3);
 }
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -210,9 +210,9 @@
         let node = |g: usize| {
             let Some(gate) = simulation.gatekeepers[g].gate.as_ref() else { return "down".to_owned() };
             let (m, s) = (gate.tenants.membership(), gate.tenants.status("t"));
-            let home = gate.control.home().map_or("-".into(), |ip| ip.octets()[3].to_string());
-            let (level, touch) = (s.map_or(0.0, |s| s.level), if m.in_touch { "" } else { "!" });
-            format!("{}{touch}{home}:{}-{}:{level:.0}", by(g), m.gatekeepers, m.missed)
+            let home = gate.control.attached_marker().map_or("-".into(), |ip| ip.octets()[3].to_string());
+            let (level, touch) = (s.map_or(0.0, |s| s.level), if m.in_sync { "" } else { "!" });
+            format!("{}{touch}{home}:{}-{}:{level:.0}", by(g), m.gatekeepers, m.missing)
         };
         let nodes: Vec<String> = (0..GATEKEEPERS).map(node).collect();
         println!("{:6} {:4} | {}", simulation.now, simulation.admitted.len() - from, nodes.join(" "));
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -99,11 +99,11 @@
         let mut gate = Gate::new(Control::new("g", "a", Vec::new(), seed), "a", &bounds(), seed);
         let marker = Ipv4Addr::LOCALHOST;
         let document = Document { version: 1, bytes: configuration };
-        gate.take(0, marker, Change::Configuration(document));
+        gate.apply(0, marker, Change::Configuration(document));
         assert_eq!(gate.revision().map(|has| has.version), Some(1));
         let servers = servers.iter().enumerate().map(|(n, address)| instance(n, *address)).collect();
-        gate.take(0, marker, Change::Servers(servers));
-        gate.take(0, marker, Change::Whole);
+        gate.apply(0, marker, Change::Servers(servers));
+        gate.apply(0, marker, Change::InitialSyncComplete);
         Rc::new(SharedState::new(gate, ConnectionPool::new(CONNECTIONS_MAX), 1 << 20))
     }
 
