--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -232,8 +232,8 @@
     pub gatekeepers: u32,
     /// The client's timeout for this try, counted from the last byte of the request.
     pub time_left: Micros,
-    /// Whether its last byte has arrived; otherwise [`Event::Whole`] follows.
-    pub whole: bool,
+    /// Whether its last byte has arrived; otherwise [`Event::BodyReceived`] follows.
+    pub body_received: bool,
 }
 
 /// How an attempt ended.
@@ -291,18 +291,18 @@
     /// An update of the server list.
     Servers(ServerList),
     /// An operator excludes a server, whatever the list says, or ends its exclusion.
-    ByHand {
+    Exclusion {
         /// The server.
         server: ServerId,
         /// Whether it is excluded from now on.
-        out: bool,
+        excluded: bool,
     },
     /// A request has arrived.
     Request(Request),
     /// The last byte of a request has arrived and was forwarded: its time limit starts.
-    Whole(RequestId),
+    BodyReceived(RequestId),
     /// A request's body has been released from memory, so that it cannot be sent again.
-    Spent(RequestId),
+    BodyReleased(RequestId),
     /// A timer fired.
     Timer(TimerToken),
     /// An attempt ended.
--- a/crates/decisions/src/gatekeeper/mod.rs
+++ b/crates/decisions/src/gatekeeper/mod.rs
@@ -136,15 +136,15 @@
         }
         match event {
             Event::Servers(list) => self.on_servers(list, out),
-            Event::ByHand { server, out: true } => {
+            Event::Exclusion { server, excluded: true } => {
                 self.excluded.entry(server).or_insert(self.now);
                 self.update_ready();
             }
-            Event::ByHand { server, out: false } => self.end_exclusion(server, out),
+            Event::Exclusion { server, excluded: false } => self.end_exclusion(server, out),
             Event::Request(request) => self.on_request(request, out),
             Event::Timer(TimerToken(0)) => self.on_tick(out),
-            Event::Whole(id) => self.on_body_received(&id, out),
-            Event::Spent(id) => drop(self.requests.entry(id).and_modify(|r| r.body_released = true)),
+            Event::BodyReceived(id) => self.on_body_received(&id, out),
+            Event::BodyReleased(id) => drop(self.requests.entry(id).and_modify(|r| r.body_released = true)),
             Event::Timer(TimerToken(n)) => {
                 let id = self.timers.remove(&n).unwrap_or_default();
                 // During the upload, and until the extended deadline after it, another timer will expire it.
--- a/crates/decisions/src/gatekeeper/requests.rs
+++ b/crates/decisions/src/gatekeeper/requests.rs
@@ -26,7 +26,7 @@
         let units = if r.units.is_finite() { r.units.max(0.0) } else { 1.0 };
         let key = self.customer_entry(plan.0, r.customer, r.gatekeepers);
         let (id, arrived, client_timeout) = (r.id, self.now, r.time_left);
-        let (deadline, uploading) = (arrived + client_timeout, !r.whole);
+        let (deadline, uploading) = (arrived + client_timeout, !r.body_received);
         let open = OpenRequest { key: key.clone(), class, class_index, units, arrived, ..Default::default() };
         self.requests.insert(id.clone(), OpenRequest { client_timeout, deadline, uploading, ..open });
         self.set_deadline(&id, client_timeout, out);
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -35,7 +35,7 @@
 //!         units: 1.0,
 //!         gatekeepers: 2,
 //!         time_left: 2_000_000,
-//!         whole: true,
+//!         body_received: true,
 //!     }),
 //!     &mut actions,
 //! );
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -155,7 +155,7 @@
             units,
             gatekeepers: 2,
             time_left,
-            whole: true,
+            body_received: true,
         }));
         id
     }
--- a/crates/decisions/tests/five_rules.rs
+++ b/crates/decisions/tests/five_rules.rs
@@ -318,31 +318,31 @@
         s.sends[before..].iter().filter(|(_, _, w)| *w == server).count()
     };
     assert!(serve(&mut s, 1) > 20);
-    s.event(Event::ByHand { server: ServerId(1), out: true });
+    s.event(Event::Exclusion { server: ServerId(1), excluded: true });
     s.list(ListScope::Full, vec![server(1), server(2)]);
     s.advance(S);
     assert_eq!(serve(&mut s, 1), 0);
     assert_eq!(s.gatekeeper.servers_avoided(s.now), 1);
-    s.event(Event::ByHand { server: ServerId(1), out: false });
+    s.event(Event::Exclusion { server: ServerId(1), excluded: false });
     s.advance(S);
     let first = serve(&mut s, 1);
     assert!((1..=2).contains(&first), "{first} at once to a cold server");
     s.advance(20 * S);
     assert!(serve(&mut s, 1) > 20, "it is warm again");
     // If the list reported the restart meanwhile, warm-up began then.
-    s.event(Event::ByHand { server: ServerId(1), out: true });
+    s.event(Event::Exclusion { server: ServerId(1), excluded: true });
     s.advance(S);
     let restarted = ServerInfo { started: Some(s.now), ..server(1) };
     s.list(ListScope::Delta, vec![restarted]);
     s.advance(20 * S);
-    s.event(Event::ByHand { server: ServerId(1), out: false });
+    s.event(Event::Exclusion { server: ServerId(1), excluded: false });
     assert!(serve(&mut s, 1) > 20, "it is warm by now");
     // A start before the exclusion does not count as a restart, even if it was unknown then.
     let mut s = Harness::new(settings(), &[2]);
-    s.event(Event::ByHand { server: ServerId(1), out: true });
+    s.event(Event::Exclusion { server: ServerId(1), excluded: true });
     s.list(ListScope::Delta, vec![ServerInfo { started: Some(s.now - 60 * S), ..server(1) }]);
     s.advance(S);
-    s.event(Event::ByHand { server: ServerId(1), out: false });
+    s.event(Event::Exclusion { server: ServerId(1), excluded: false });
     assert!(serve(&mut s, 1) <= 2, "the server was treated as warm");
     assert_eq!(s.gatekeeper.servers_avoided(s.now), 0);
 }
--- a/crates/decisions/tests/fleet.rs
+++ b/crates/decisions/tests/fleet.rs
@@ -35,7 +35,7 @@
         units,
         gatekeepers,
         time_left: 2 * S,
-        whole: true,
+        body_received: true,
     }));
     name
 }
--- a/crates/decisions/tests/quota.rs
+++ b/crates/decisions/tests/quota.rs
@@ -236,7 +236,7 @@
             units: 1.0,
             gatekeepers: 2,
             time_left: 2 * S,
-            whole: true,
+            body_received: true,
         }));
         if let Some(o) = s.in_flight.pop() {
             s.finish(o, Outcome::Ok);
@@ -255,7 +255,16 @@
     let mut s = Harness::new(settings(), &[1]);
     let request = |id: &str, plan, class, units, time_left| {
         let (id, customer) = (RequestId(id.into()), CustomerId("ada".into()));
-        Event::Request(Request { id, customer, class, plan, units, gatekeepers: 0, time_left, whole: true })
+        Event::Request(Request {
+            id,
+            customer,
+            class,
+            plan,
+            units,
+            gatekeepers: 0,
+            time_left,
+            body_received: true,
+        })
     };
     s.event(request("a", None, Some(ClassId(0)), 1.0, S));
     s.event(request("b", Some(PlanId(99)), Some(ClassId(0)), 1.0, S));
--- a/crates/gatekeeper/src/driver.rs
+++ b/crates/gatekeeper/src/driver.rs
@@ -199,7 +199,7 @@
             upload.on_end(move || {
                 let calls = driver.telemetry.requests_written();
                 calls.set(calls.get() + 1);
-                driver.feed(Event::Whole(id));
+                driver.feed(Event::BodyReceived(id));
             });
         }
         let whole = parts.upload().is_none();
@@ -216,7 +216,7 @@
             units: client_request.units,
             gatekeepers: client_request.gatekeepers,
             time_left: time_left.as_micros() as Micros,
-            whole,
+            body_received: whole,
         }));
         (RequestGuard { driver: self.clone(), id }, answer)
     }
@@ -277,7 +277,7 @@
     /// Excludes a server by an operator's call, or includes it again; in effect once this returns.
     pub fn set_excluded(self: &Rc<Self>, server: ServerId, excluded: bool) {
         self.servers.set_excluded(server, excluded);
-        self.feed(Event::ByHand { server, out: excluded });
+        self.feed(Event::Exclusion { server, excluded });
         self.cancel_unsent();
     }
 
@@ -308,7 +308,7 @@
     ) {
         let closed = self.pending.borrow().get(id).is_none_or(|pending| pending.reply.is_none());
         if self.pending.borrow().get(id).is_some_and(|pending| pending.parts.is_consumed()) {
-            self.feed(Event::Spent(id.clone()));
+            self.feed(Event::BodyReleased(id.clone()));
         }
         self.remove_if_complete(id);
         let latency = sent.elapsed().as_micros() as Micros;
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -102,7 +102,7 @@
             units: what.guess,
             gatekeepers: spread as u32,
             time_left: until.saturating_sub(self.now + CLIENT_WAY),
-            whole: true,
+            body_received: true,
         });
         self.hears(gatekeeper, life, event);
     }
--- a/crates/simwire/src/wire.rs
+++ b/crates/simwire/src/wire.rs
@@ -62,7 +62,7 @@
                     .optional::<i64>("graceUs")?
                     .ok_or_else(|| f.error("graceUs", Fault::Missing))?
                     .max(0) as u64,
-                whole: true,
+                body_received: true,
             })
         }
         "WAKE" => Event::Timer(TimerToken(f.int("nonce")?)),
