--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -92,14 +92,14 @@
     /// How far below zero the ceiling's token bucket may go, units.
     pub ceiling_slack: f64,
     /// Share of its value that a request over quota earns when served.
-    pub over_earns: f64,
+    pub over_quota_value: f64,
     /// Share of its value that a request over quota costs when sent to a server.
-    pub over_cost: f64,
+    pub over_quota_cost: f64,
 }
 
 /// Parameters of the rules on cold servers.
 #[derive(Clone, Debug, Default)]
-pub struct RuleFigures {
+pub struct ColdStartRules {
     /// The least share of its capacity that a server has at its start.
     pub cold_from: f64,
     /// The longest time until a server is warm.
@@ -116,7 +116,7 @@
     /// The most attempts of one request.
     pub max_attempts: usize,
     /// Whether attempts may be hedged: two attempts of one request in flight at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Whether attempts may be cancelled.
     pub cancel: bool,
     /// The longest retry advice that clients follow.
@@ -129,7 +129,7 @@
     /// Number of gatekeepers.
     pub instances: u32,
     /// Index of this gatekeeper, from 0.
-    pub me: u32,
+    pub index: u32,
     /// The shortest time between two calls of `handle`.
     pub resolution: Micros,
     /// The zone of this gatekeeper.
@@ -139,9 +139,9 @@
     /// Timeout of a call to the counter.
     pub counter_timeout: Micros,
     /// The most units of one request.
-    pub most_units: f64,
+    pub max_request_units: f64,
     /// Whether a request's units are an estimate that its answer corrects.
-    pub settles: bool,
+    pub estimated_units: bool,
     /// Whether the gatekeeper has to subscribe to changes of the server list.
     pub subscribe: bool,
     /// The classes of requests.
@@ -151,7 +151,7 @@
     /// Limits that the deployment sets.
     pub limits: Limits,
     /// Parameters of the rules on cold servers.
-    pub rules: RuleFigures,
+    pub rules: ColdStartRules,
 }
 
 /// Whether a server accepts new requests.
--- a/crates/decisions/src/gatekeeper/attempts.rs
+++ b/crates/decisions/src/gatekeeper/attempts.rs
@@ -101,7 +101,7 @@
             if not_repeatable || late || self.retry_budget < 1.0 || !(lost || overdue) {
                 continue;
             }
-            if self.settings.limits.second_copies {
+            if self.settings.limits.hedging {
                 if self.dispatch(&id, out) {
                     self.retry_budget -= 1.0;
                 }
--- a/crates/decisions/src/gatekeeper/counter.rs
+++ b/crates/decisions/src/gatekeeper/counter.rs
@@ -24,7 +24,7 @@
 impl Gatekeeper {
     /// Whether the call rate allows a call now: the larger the decision, the fewer saved calls it needs.
     pub(super) fn may_call(&self, needed: f64) -> bool {
-        let left = CALL_BURST.1 * (1.0 - needed / self.settings.most_units.max(1.0)).clamp(0.0, 1.0);
+        let left = CALL_BURST.1 * (1.0 - needed / self.settings.max_request_units.max(1.0)).clamp(0.0, 1.0);
         self.calls.len() < MAX_CALLS && self.now as f64 >= self.next_call_at + left * self.call_interval
     }
 
@@ -78,7 +78,7 @@
         let (key, ok) = (call.key, matches!(outcome, CounterOutcome::Total(n) if n.is_finite()));
         self.adapt_call_rate(ok, self.now - call.sent);
         self.advance(&key);
-        let count_floor = if self.settings.settles { -self.settings.most_units } else { 0.0 };
+        let count_floor = if self.settings.estimated_units { -self.settings.max_request_units } else { 0.0 };
         let Some(c) = self.customers.get_mut(&key) else { return };
         c.in_flight -= call.amount;
         c.open_calls = c.open_calls.saturating_sub(1);
--- a/crates/decisions/src/gatekeeper/customers.rs
+++ b/crates/decisions/src/gatekeeper/customers.rs
@@ -13,7 +13,7 @@
 
     /// Whether a customer's plan is soft: its requests over quota earn more than they cost.
     pub(super) fn is_soft(&self, key: &Key) -> bool {
-        self.plan(key).over_earns > self.plan(key).over_cost
+        self.plan(key).over_quota_value > self.plan(key).over_quota_cost
     }
 
     /// Finds or creates the customer's entry. When the table is full, new customers share one strict entry
--- a/crates/decisions/src/gatekeeper/fleet.rs
+++ b/crates/decisions/src/gatekeeper/fleet.rs
@@ -39,7 +39,7 @@
         let mut ready: Vec<_> = ready.filter(free).map(|w| (w.info.place, w.info.id)).collect();
         ready.sort_unstable();
         // Golden-ratio steps spread any number of gatekeepers evenly, with neighbours far apart.
-        let own = (f64::from(self.settings.me) * GOLDEN_RATIO).fract() * ready.len() as f64;
+        let own = (f64::from(self.settings.index) * GOLDEN_RATIO).fract() * ready.len() as f64;
         ready.rotate_left(own as usize);
         self.ready = ready.into_iter().map(|(_, id)| id).collect();
         self.update_subset();
--- a/crates/decisions/src/gatekeeper/guards.rs
+++ b/crates/decisions/src/gatekeeper/guards.rs
@@ -9,7 +9,7 @@
         let again = !r.attempts.is_empty();
         let tries_left = r.attempts.len() < self.settings.limits.max_attempts && !(again && r.body_released);
         let over = r.closed || r.streaming || (self.now >= r.deadline && !r.uploading);
-        let second = r.attempts.iter().any(|a| a.in_flight) && !self.settings.limits.second_copies;
+        let second = r.attempts.iter().any(|a| a.in_flight) && !self.settings.limits.hedging;
         let listed = w.info.availability == Availability::Ready && !self.excluded.contains_key(&w.info.id);
         if over || !tries_left || second || !listed {
             return false;
--- a/crates/decisions/src/gatekeeper/quotas.rs
+++ b/crates/decisions/src/gatekeeper/quotas.rs
@@ -59,7 +59,7 @@
     /// Whether a new total could change the decision: by others' use since the last one, or if none was read.
     pub(super) fn needs_total(&self, key: &Key, units: f64) -> bool {
         let (Some(c), p) = (self.customers.get(key), self.plan(key)) else { return false };
-        let spread = c.predicted * UNCERTAINTY.0 + UNCERTAINTY.1 * self.settings.most_units;
+        let spread = c.predicted * UNCERTAINTY.0 + UNCERTAINTY.1 * self.settings.max_request_units;
         let is_close = c.level + c.predicted >= units && c.level < units + spread;
         let open = if c.known { is_close && self.now > c.read_at + TOTAL_MAX_AGE } else { c.level < units };
         open && self.settings.counter && p.rate > 0.0 && !key.1 .0.is_empty()
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -11,7 +11,7 @@
 //!     instances: 2,
 //!     limits: Limits { max_attempts: 3, ..Limits::default() },
 //!     classes: vec![Class { aim: 500_000, deadline: 2_000_000, ..Class::default() }],
-//!     plans: vec![Plan { rate: 5.0, burst: 10.0, over_cost: 1.0, ..Plan::default() }],
+//!     plans: vec![Plan { rate: 5.0, burst: 10.0, over_quota_cost: 1.0, ..Plan::default() }],
 //!     ..Settings::default()
 //! };
 //! let now = 1_000_000;
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -66,7 +66,7 @@
     Expected(&'static str),
     /// The list is empty but must not be.
     #[error("must not be empty")]
-    NamesNone,
+    EmptyList,
     /// No instance with this number was launched.
     #[error("no such instance")]
     UnknownInstance,
@@ -216,26 +216,26 @@
             ceiling_rate: number("hardRate")?,
             ceiling_burst: number("capDepth")?,
             ceiling_slack: number("ceilingSlack")?,
-            over_earns: number("beyondEarns")?,
-            over_cost: number("overCost")?,
+            over_quota_value: number("beyondEarns")?,
+            over_quota_cost: number("overCost")?,
         });
     }
     let settings = Settings {
         instances: f.number("instances")?,
-        me: f.optional("me")?.unwrap_or(0),
+        index: f.optional("me")?.unwrap_or(0),
         resolution: f.span_or_zero("resolutionUs")?,
         zone: Zone(f.text_or_empty("zone").into()),
         counter: f.flag("familyInfo.mayCount")?,
         counter_timeout: f.span_or_zero("familyInfo.countWaitUs")?,
-        most_units: f.float_or_zero("familyInfo.mostUnits")?,
-        settles: f.flag("familyInfo.costAfter")?,
+        max_request_units: f.float_or_zero("familyInfo.mostUnits")?,
+        estimated_units: f.flag("familyInfo.costAfter")?,
         subscribe: f.text_or_empty("registryMode") == "on_request",
         classes,
         plans,
         limits: Limits {
             // The defaults are the most restrictive: one attempt, no hedging, no retry advice.
             max_attempts: f.optional("limits.maxAttempts")?.unwrap_or(1),
-            second_copies: f.flag("limits.mayDuplicate")?,
+            hedging: f.flag("limits.mayDuplicate")?,
             cancel: f.flag("limits.mayCancel")?,
             max_retry_after: if f.flag("limits.retryAfter")? {
                 f.span_or_zero("limits.maxRetryAfterUs")?
@@ -243,7 +243,7 @@
                 0
             },
         },
-        rules: RuleFigures {
+        rules: ColdStartRules {
             cold_from: f.float("rules.coldFrom")?,
             cold_for: f.int("rules.coldUs")?,
             fall_multiple: f.float("rules.fallMultiple")?,
@@ -288,7 +288,7 @@
         let (settings, _) = settings(&Fields::from_pairs("settings", &pairs)).unwrap();
         let limits = &settings.limits;
         assert_eq!((limits.max_attempts, limits.max_retry_after), (1, 0));
-        assert!(!limits.second_copies && !limits.cancel && !settings.counter);
-        assert_eq!(settings.me, 0);
+        assert!(!limits.hedging && !limits.cancel && !settings.counter);
+        assert_eq!(settings.index, 0);
     }
 }
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -15,22 +15,22 @@
 /// Class 0 is idempotent, class 1 is deduplicated within a cell, class 2 must not run twice. Plan 0 has a
 /// quota of 10 units a second with a burst of 20; plan 1 has the same and a ceiling of twice that.
 pub fn settings() -> Settings {
-    let plan = Plan { rate: 10.0, burst: 20.0, over_cost: 1.0, ..Plan::default() };
+    let plan = Plan { rate: 10.0, burst: 20.0, over_quota_cost: 1.0, ..Plan::default() };
     let ceiling = Plan { ceiling_rate: 20.0, ceiling_burst: 40.0, ceiling_slack: 4.0, ..plan.clone() };
     Settings {
         instances: 2,
         resolution: 2 * MS,
         counter: true,
         counter_timeout: 50 * MS,
-        most_units: 4.0,
+        max_request_units: 4.0,
         classes: vec![
             class(Effect::Idempotent, DedupGroup::All),
             class(Effect::Deduplicated, DedupGroup::Cell),
             class(Effect::AtMostOnce, DedupGroup::All),
         ],
         plans: vec![plan, ceiling],
-        limits: Limits { max_attempts: 4, second_copies: true, cancel: true, max_retry_after: S },
-        rules: RuleFigures { cold_from: 0.2, cold_for: 10 * S, fall_multiple: 2.0, fall_after: S },
+        limits: Limits { max_attempts: 4, hedging: true, cancel: true, max_retry_after: S },
+        rules: ColdStartRules { cold_from: 0.2, cold_for: 10 * S, fall_multiple: 2.0, fall_after: S },
         ..Settings::default()
     }
 }
--- a/crates/decisions/tests/five_rules.rs
+++ b/crates/decisions/tests/five_rules.rs
@@ -87,7 +87,7 @@
 #[test]
 fn without_hedging_a_request_has_one_attempt_in_flight() {
     let mut config = settings();
-    config.limits.second_copies = false;
+    config.limits.hedging = false;
     let mut s = Harness::new(config, &[1, 2]);
     let id = s.submit("ada", 0, 0, 1.0);
     s.advance(S);
@@ -176,7 +176,7 @@
 fn run_random_events(seed: u64) -> Vec<Action> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut config = settings();
-    config.limits.second_copies = seed.is_multiple_of(2);
+    config.limits.hedging = seed.is_multiple_of(2);
     let mut s = Harness::new(config.clone(), &[1, 2, 3]);
     let mut totals = BTreeMap::new();
     let mut ready: BTreeMap<u64, bool> = (1..=5).map(|id| (id, id <= 3)).collect();
@@ -238,7 +238,7 @@
                 assert!(!ran.get(id).copied().unwrap_or(false), "step {step}: {id} may have run already");
             }
             let out = s.in_flight.iter().filter(|o| o.request == *id).count();
-            let most = if config.limits.second_copies && class_of[id] != 2 { 4 } else { 1 };
+            let most = if config.limits.hedging && class_of[id] != 2 { 4 } else { 1 };
             assert!(out <= most, "step {step}: {out} attempts of {id} out");
         }
         for (id, answers) in &s.answers {
@@ -275,7 +275,7 @@
 fn a_process_and_its_successor_share_one_ceiling() {
     let mut config = settings();
     (config.instances, config.counter) = (1, false);
-    config.plans[1].over_earns = 2.0;
+    config.plans[1].over_quota_value = 2.0;
     // Submits `times` requests at one moment and returns how many were sent.
     let spend = |s: &mut Harness, times: usize| {
         let before = s.sends.len();
--- a/crates/decisions/tests/fleet.rs
+++ b/crates/decisions/tests/fleet.rs
@@ -14,7 +14,7 @@
 /// One gatekeeper of the fleet, with its own seed and index.
 fn gatekeeper(seed: u64, config: &Settings, servers: &[u64]) -> Harness {
     let mut s = Harness::new(config.clone(), &[]);
-    s.gatekeeper = Gatekeeper::new(Settings { me: seed as u32, ..config.clone() }, seed, START);
+    s.gatekeeper = Gatekeeper::new(Settings { index: seed as u32, ..config.clone() }, seed, START);
     (s.timers, s.log) = (Vec::new(), Vec::new());
     s.list(ListScope::Full, servers.iter().map(|id| server(*id)).collect());
     s
@@ -263,10 +263,10 @@
 
 /// The servers that each gatekeeper sends to, submitting one request at a time.
 fn used_by(gatekeepers: u32, servers: Vec<ServerInfo>, requests: usize) -> Vec<BTreeMap<u64, usize>> {
-    let gatekeeper = |me: u32| {
-        let config = Settings { instances: gatekeepers, me, counter: false, ..settings() };
+    let gatekeeper = |index: u32| {
+        let config = Settings { instances: gatekeepers, index, counter: false, ..settings() };
         let mut s = Harness::with(config.clone(), Vec::new());
-        s.gatekeeper = Gatekeeper::new(config, u64::from(me), START);
+        s.gatekeeper = Gatekeeper::new(config, u64::from(index), START);
         s.list(ListScope::Full, servers.clone());
         for n in 0..requests {
             s.submit(&format!("c{n}"), 0, 0, 0.01);
--- a/crates/decisions/tests/quota.rs
+++ b/crates/decisions/tests/quota.rs
@@ -30,7 +30,7 @@
 #[test]
 fn a_soft_plan_exceeds_its_quota_only_with_spare_capacity() {
     let mut soft = Settings { counter: false, ..settings() };
-    soft.plans[0] = Plan { over_earns: 0.2, over_cost: 0.0, ..soft.plans[0].clone() };
+    soft.plans[0] = Plan { over_quota_value: 0.2, over_quota_cost: 0.0, ..soft.plans[0].clone() };
     let mut s = Harness::new(soft, &[1]);
     // Far over its part of the burst of 20, one at a time: there is spare capacity.
     assert_eq!(served(&mut s, "ada", 60, 1.0), 60);
@@ -57,7 +57,7 @@
 #[test]
 fn a_close_decision_of_a_soft_plan_waits_for_a_total() {
     let mut soft = settings();
-    soft.plans[0] = Plan { over_earns: 0.2, over_cost: 0.0, ..soft.plans[0].clone() };
+    soft.plans[0] = Plan { over_quota_value: 0.2, over_quota_cost: 0.0, ..soft.plans[0].clone() };
     let mut s = Harness::new(soft, &[1]);
     s.advance(10 * MS);
     // Its part of the burst of 20 is 10; the others may have used nothing.
@@ -112,10 +112,10 @@
 #[test]
 fn soft_plans_are_exempt_and_open_request_caps_hold() {
     let mut config = settings();
-    config.plans[0].over_earns = 2.0;
+    config.plans[0].over_quota_value = 2.0;
     let mut s = Harness::new(config.clone(), &[1, 2]);
     assert_eq!(served(&mut s, "ada", 60, 1.0), 60);
-    config.plans[0] = Plan { open: 4.0, over_cost: 1.0, ..Plan::default() };
+    config.plans[0] = Plan { open: 4.0, over_quota_cost: 1.0, ..Plan::default() };
     let mut s = Harness::new(config, &[1, 2, 3]);
     let ids: Vec<String> = (0..6).map(|_| s.submit("ada", 0, 0, 1.0)).collect();
     let sent = ids.iter().filter(|id| s.sent(id) == 1).count();
@@ -180,7 +180,7 @@
 #[test]
 fn the_actual_units_of_an_answer_replace_the_estimate() {
     let mut config = settings();
-    config.settles = true;
+    config.estimated_units = true;
     let mut s = Harness::new(config, &[1]);
     let mut totals = BTreeMap::new();
     let id = s.submit("ada", 0, 0, 1.0);
--- a/crates/decisions/tests/workers.rs
+++ b/crates/decisions/tests/workers.rs
@@ -62,9 +62,9 @@
 
 #[test]
 fn requests_at_a_silent_server_move_to_other_servers() {
-    for second_copies in [true, false] {
+    for hedging in [true, false] {
         let mut config = settings();
-        config.limits.second_copies = second_copies;
+        config.limits.hedging = hedging;
         let mut s = Harness::new(config, &[1, 2, 3]);
         let mut late = 0;
         for step in 0..400u64 {
@@ -89,7 +89,7 @@
             late += if step > 200 { s.sends[before..].iter().filter(|(_, _, w)| *w == 1).count() } else { 0 };
         }
         let lost = (1..=380).filter(|n| s.answer_of(&format!("r-{n}")) != Some(Answer::Served)).count();
-        assert!(lost <= 1, "{lost} of 380 not served, hedging: {second_copies}");
+        assert!(lost <= 1, "{lost} of 380 not served, hedging: {hedging}");
         assert!(late <= 40, "{late} sent to the silent server");
     }
 }
--- a/crates/gatekeeper/src/config.rs
+++ b/crates/gatekeeper/src/config.rs
@@ -259,7 +259,7 @@
         settings.limits.max_retry_after = settings.limits.max_retry_after.max(advice);
         for (field, names) in [("services", &names.classes), ("tiersOfService", &names.plans)] {
             if names.is_empty() {
-                return Err(fields.error(field, Fault::NamesNone).into());
+                return Err(fields.error(field, Fault::EmptyList).into());
             }
         }
         let span = |field: &str| -> Result<Duration, ConfigError> {
@@ -348,9 +348,10 @@
         return Err(ConfigFault::PeerCountMismatch(addresses.len(), instances).at("peers"));
     }
     // The membership protocol encodes gatekeeper numbers in two bytes.
-    let me = u16::try_from(settings.me).ok().filter(|me| usize::from(*me) < addresses.len());
-    let me =
-        me.ok_or_else(|| ConfigFault::ExceedsTotal(settings.me as usize, addresses.len()).at("settings.me"))?;
+    let me = u16::try_from(settings.index).ok().filter(|me| usize::from(*me) < addresses.len());
+    let me = me.ok_or_else(|| {
+        ConfigFault::ExceedsTotal(settings.index as usize, addresses.len()).at("settings.me")
+    })?;
     if membership.fleet.is_empty() {
         return Err(ConfigFault::Empty.at("membership.fleet"));
     }
--- a/crates/gatekeeper/src/driver.rs
+++ b/crates/gatekeeper/src/driver.rs
@@ -202,7 +202,7 @@
                 driver.feed(Event::BodyReceived(id));
             });
         }
-        let whole = parts.upload().is_none();
+        let body_received = parts.upload().is_none();
         let pending = PendingRequest { parts, reply: Some(reply), attempts: Vec::new(), class, late: false };
         self.pending.borrow_mut().insert(id.clone(), pending);
         self.telemetry.request_started();
@@ -216,7 +216,7 @@
             units: client_request.units,
             gatekeepers: client_request.gatekeepers,
             time_left: time_left.as_micros() as Micros,
-            body_received: whole,
+            body_received,
         }));
         (RequestGuard { driver: self.clone(), id }, answer)
     }
--- a/crates/lab/src/loopback/gatekeeper.rs
+++ b/crates/lab/src/loopback/gatekeeper.rs
@@ -39,7 +39,7 @@
     let plans = experiment.plans.iter().zip(&it.plans).map(|(named, plan)| {
         json!({"name": named.name, "rate": plan.rate, "storeSize": plan.burst, "hardRate": plan.ceiling_rate,
                "capDepth": plan.ceiling_burst, "ceilingSlack": plan.ceiling_slack,
-               "beyondEarns": plan.over_earns, "overCost": plan.over_cost})
+               "beyondEarns": plan.over_quota_value, "overCost": plan.over_quota_cost})
     });
     let mut told = json!({
         "name": format!("n{me}"), "listen": places.listen, "admin_addr": places.admin, "events": true,
@@ -49,10 +49,11 @@
         "settings": {
             "instances": it.instances, "me": me, "resolutionUs": it.resolution, "zone": zones[me % zones.len()],
             "registryMode": "pushed",
-            "familyInfo": {"mayCount": it.counter, "mostUnits": it.most_units, "costAfter": it.settles,
+            "familyInfo": {"mayCount": it.counter, "mostUnits": it.max_request_units,
+                           "costAfter": it.estimated_units,
                            "countWaitUs": it.counter_timeout},
             "limits": {"maxAttempts": it.limits.max_attempts, "mayCancel": it.limits.cancel,
-                       "mayDuplicate": it.limits.second_copies, "retryAfter": true,
+                       "mayDuplicate": it.limits.hedging, "retryAfter": true,
                        "maxRetryAfterUs": it.limits.max_retry_after, "connIdleUs": 30_000_000,
                        "connectTimeoutUs": 250_000},
             "rules": {"coldFrom": it.rules.cold_from, "coldUs": it.rules.cold_for,
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -33,7 +33,7 @@
         let inside = self.asked_inside.entry(customer).or_insert(fresh).takes(self.now, plan, what.units);
         let class = &self.experiment.classes[what.class];
         let worth = class.worth.0 * what.units;
-        let offered = if inside { worth } else { plan.over_earns * worth };
+        let offered = if inside { worth } else { plan.over_quota_value * worth };
         let (due, deadline) = (self.now, self.now + class.deadline_s.micros());
         self.next += 1;
         let asked = self.next;
@@ -168,7 +168,7 @@
         let worth = class.worth.0 * request.what.units;
         let earns = match inside {
             Some(true) => worth,
-            Some(false) => self.settings.plans[request.what.plan].over_earns * worth,
+            Some(false) => self.settings.plans[request.what.plan].over_quota_value * worth,
             None => 0.0,
         };
         self.gatherer.over(&Over {
--- a/crates/lab/src/world/lists.rs
+++ b/crates/lab/src/world/lists.rs
@@ -87,7 +87,7 @@
             return;
         }
         let zone = Zone(self.experiment.fleet.zones[gate.zone].clone());
-        let settings = Settings { me: gatekeeper as u32, zone, ..self.settings.clone() };
+        let settings = Settings { index: gatekeeper as u32, zone, ..self.settings.clone() };
         gate.decider = Some((self.make)(settings, seed, now));
         gate.life += 1;
         let (life, known) = (gate.life, gate.told.values());
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -273,29 +273,29 @@
             ceiling_rate: rate * times,
             ceiling_burst: burst * times,
             ceiling_slack: if times > 0.0 { (CEILING_SLACK * burst * times).max(MOST_UNITS) } else { 0.0 },
-            over_earns: plan.over_earns,
-            over_cost: plan.over_cost,
+            over_quota_value: plan.over_earns,
+            over_quota_cost: plan.over_cost,
         }
     };
     Settings {
         instances: fleet.gatekeepers.0,
-        me: 0,
+        index: 0,
         resolution: 1_000,
         zone: Zone::default(),
         counter: experiment.counter.there,
         counter_timeout: (experiment.counter.timeout_ms.0 * 1e3) as Micros,
-        most_units: MOST_UNITS,
-        settles: true,
+        max_request_units: MOST_UNITS,
+        estimated_units: true,
         subscribe: false,
         classes: experiment.classes.iter().map(class).collect(),
         plans: experiment.plans.iter().map(plan).collect(),
         limits: Limits {
             max_attempts: experiment.limits.max_attempts.0 as usize,
-            second_copies: experiment.limits.second_copies,
+            hedging: experiment.limits.second_copies,
             cancel: experiment.limits.cancel,
             max_retry_after: experiment.limits.max_retry_after_s.micros(),
         },
-        rules: RuleFigures {
+        rules: ColdStartRules {
             cold_from: fleet.cold_from.0,
             cold_for: fleet.cold_s.micros(),
             fall_multiple: fleet.fall_multiple.0,
