--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -182,14 +182,14 @@
     /// When it last started; `None` if long ago.
     pub started: Option<Micros>,
     /// Sort key in the order of all servers, the same at every gatekeeper.
-    pub place: u64,
+    pub sort_key: u64,
 }
 
 impl ServerInfo {
     /// A warm server that accepts requests, of size 1, in the unnamed zone.
     pub fn ready(id: ServerId) -> Self {
         let availability = Availability::Ready;
-        ServerInfo { id, availability, zone: Zone::default(), cell: 0, size: 1.0, started: None, place: 0 }
+        ServerInfo { id, availability, zone: Zone::default(), cell: 0, size: 1.0, started: None, sort_key: 0 }
     }
 }
 
--- a/crates/decisions/src/gatekeeper/counter.rs
+++ b/crates/decisions/src/gatekeeper/counter.rs
@@ -98,7 +98,7 @@
                     s.own += others;
                 }
                 let new_units = (others - s.others).max(0.0);
-                c.hear(&self.settings.plans[key.0], new_units, age == 0, count_floor, self.now);
+                c.apply_total(&self.settings.plans[key.0], new_units, age == 0, count_floor, self.now);
             }
         }
         c.pending += lost;
@@ -117,7 +117,7 @@
 impl Customer {
     /// Applies a total: the others have used `new_units` more, in the present slot or the last one. The level
     /// is not lowered below `least`.
-    pub fn hear(&mut self, p: &Plan, new_units: f64, now_slot: bool, least: f64, now: Micros) {
+    pub fn apply_total(&mut self, p: &Plan, new_units: f64, now_slot: bool, least: f64, now: Micros) {
         let (window, mut dt) = (window(p), secs(now - self.read_at).max(1e-3));
         self.level = if self.known { self.level + self.predicted - new_units } else { p.burst };
         let s = if now_slot { &mut self.cur } else { &mut self.prev };
--- a/crates/decisions/src/gatekeeper/fleet.rs
+++ b/crates/decisions/src/gatekeeper/fleet.rs
@@ -36,7 +36,7 @@
     pub(super) fn update_ready(&mut self) {
         let free = |w: &&Server| !self.excluded.contains_key(&w.info.id);
         let ready = self.servers.values().filter(|w| w.info.availability == Availability::Ready);
-        let mut ready: Vec<_> = ready.filter(free).map(|w| (w.info.place, w.info.id)).collect();
+        let mut ready: Vec<_> = ready.filter(free).map(|w| (w.info.sort_key, w.info.id)).collect();
         ready.sort_unstable();
         // Golden-ratio steps spread any number of gatekeepers evenly, with neighbours far apart.
         let own = (f64::from(self.settings.index) * GOLDEN_RATIO).fract() * ready.len() as f64;
--- a/crates/decisions/src/gatekeeper/handover.rs
+++ b/crates/decisions/src/gatekeeper/handover.rs
@@ -58,7 +58,7 @@
     }
 
     /// The successor has failed: resumes as the gatekeeper. What was handed over counts as used.
-    pub fn carry_on(&mut self, now: Micros) {
+    pub fn resume(&mut self, now: Micros) {
         self.now = self.now.max(now);
         let keys: Vec<Key> = self.customers.keys().cloned().collect();
         keys.iter().for_each(|key| self.advance(key));
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -60,17 +60,17 @@
 
 impl Customer {
     /// Units left in the quota's bucket, as far as known.
-    pub fn left(&self) -> f64 {
+    pub fn remaining(&self) -> f64 {
         self.level
     }
 
     /// Lowers the level of the quota's bucket to at most `most` units.
-    pub fn drain_to(&mut self, most: f64) {
+    pub fn cap_level(&mut self, most: f64) {
         self.level = self.level.min(most);
     }
 
     /// Charges units that are used here, for callers without a shared counter.
-    pub fn take(&mut self, units: f64) {
+    pub fn charge(&mut self, units: f64) {
         self.level -= units;
         self.cur.own += units;
     }
--- a/crates/decisions/tests/fleet.rs
+++ b/crates/decisions/tests/fleet.rs
@@ -283,7 +283,7 @@
 
 /// Listed servers: ids carry no order, and sort keys are the same at every gatekeeper.
 fn placed(ids: impl Iterator<Item = u64>) -> Vec<ServerInfo> {
-    ids.map(|id| ServerInfo { place: hash(&format!("s-{id}")), ..server(id) }).collect()
+    ids.map(|id| ServerInfo { sort_key: hash(&format!("s-{id}")), ..server(id) }).collect()
 }
 
 #[test]
--- a/crates/gatekeeper/src/driver.rs
+++ b/crates/gatekeeper/src/driver.rs
@@ -383,7 +383,7 @@
 
     /// Resumes after a handover to a process that has ended.
     pub fn resume(&self) {
-        self.gatekeeper.borrow_mut().carry_on(self.clock.now());
+        self.gatekeeper.borrow_mut().resume(self.clock.now());
     }
 
     fn remove_if_complete(&self, id: &RequestId) {
--- a/crates/gatekeeper/src/list.rs
+++ b/crates/gatekeeper/src/list.rs
@@ -93,7 +93,7 @@
             cell: target.pod_group,
             size: target.capacity_hint.filter(|n| n.is_finite() && *n > 0.0).unwrap_or(1.0),
             // The gatekeeper's clock is Unix time too, so that all gatekeepers use the same start time.
-            place: hash(&target.uid),
+            sort_key: hash(&target.uid),
             started: (target.boot_ms > 0).then(|| target.boot_ms.saturating_mul(1_000)),
         }
     }
--- a/crates/lab/src/world/lists.rs
+++ b/crates/lab/src/world/lists.rs
@@ -22,7 +22,7 @@
             cell: 0,
             size: 1.0,
             started,
-            place: hash(&machine.row.name),
+            sort_key: hash(&machine.row.name),
         }
     }
 
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -99,7 +99,7 @@
         let (open, plan) = (self.customer.open, scaled(&self.plan, part));
         self.customer = Customer::new(&plan, &CustomerId(name.to_owned()), 1.0, micros(now), micros(now));
         self.customer.open = open;
-        self.customer.drain_to(level);
+        self.customer.cap_level(level);
         (self.recent_requests, self.awaits_first_update, self.allowance_at) = ((0.0, 0.0), true, now);
         self.allowance = level.max(0.0) * self.share(gatekeepers);
     }
@@ -125,13 +125,13 @@
 
     /// Deducts units that no counter here includes.
     fn deduct(&mut self, units: f64) {
-        let left = self.customer.left();
-        self.customer.drain_to(left - units);
+        let left = self.customer.remaining();
+        self.customer.cap_level(left - units);
     }
 
     fn status(&self) -> TenantStatus {
         let (admitted, refused) = (self.admitted, self.refused);
-        TenantStatus { admitted, refused, level: self.customer.left(), allowance: self.allowance }
+        TenantStatus { admitted, refused, level: self.customer.remaining(), allowance: self.allowance }
     }
 
     /// The share of the bucket that may be taken here: the mean of this gatekeeper's share of recent requests
@@ -257,7 +257,7 @@
             let level = self.initial_level(now, &name);
             let Some(entry) = self.table.get_mut(&name) else { continue };
             entry.customer.advance(&scaled(&entry.plan, before), micros(now), false);
-            let carried = entry.customer.left() * part / before;
+            let carried = entry.customer.remaining() * part / before;
             // A history of a whole window includes the debt.
             let level = if is_known { level } else { level.min(carried) };
             entry.reset(&name, part, n, level, now);
@@ -340,7 +340,7 @@
         let window_limit = self.window_level(now, &tenant.name, &window_plan, WINDOW_SPARE);
         let entry = self.table.get_mut(&tenant.name)?;
         entry.customer.advance(&plan, at, false);
-        entry.customer.drain_to(window_limit.min(BUCKET_FRACTION * plan.burst));
+        entry.customer.cap_level(window_limit.min(BUCKET_FRACTION * plan.burst));
         let mut wait = entry.customer.beyond(&plan, 1.0, 0.0, at, self.rng.f64());
         if wait.is_none() && !entry.has_allowance(now, &plan, n) {
             wait = Some(ALLOWANCE_WAIT * 1_000);
@@ -349,7 +349,7 @@
             entry.refused += 1;
         } else {
             entry.admitted += 1;
-            entry.customer.take(1.0);
+            entry.customer.charge(1.0);
             entry.allowance -= 1.0;
             entry.admitted_since_update += 1;
             entry.recent_requests.0 += 1.0;
@@ -371,16 +371,16 @@
             let others = increments.get(name.as_str()).copied().unwrap_or(0) as f64;
             let plan = scaled(&entry.plan, part);
             entry.customer.advance(&plan, at, false);
-            let left = entry.customer.left();
-            entry.customer.hear(&plan, others, true, -DEBT_MAX * plan.burst, at);
+            let left = entry.customer.remaining();
+            entry.customer.apply_total(&plan, others, true, -DEBT_MAX * plan.burst, at);
             if std::mem::take(&mut entry.awaits_first_update) {
                 // Without this the first update would start with a full bucket.
-                entry.customer.drain_to(left - others);
+                entry.customer.cap_level(left - others);
             }
             let keeps = (-(now.saturating_sub(entry.updated_at) as f64) / DECAY_MS).exp();
             entry.recent_requests =
                 (entry.recent_requests.0 * keeps, entry.recent_requests.1 * keeps + others);
-            entry.allowance = entry.customer.left().max(0.0) * entry.share(n);
+            entry.allowance = entry.customer.remaining().max(0.0) * entry.share(n);
             (entry.allowance_at, entry.updated_at, entry.admitted_since_update) = (now, now, 0);
         }
     }
--- a/crates/simwire/src/wire.rs
+++ b/crates/simwire/src/wire.rs
@@ -114,7 +114,7 @@
         zone: Zone(f.text_or_empty("zone").into()),
         cell: f.span_or_zero("block")?,
         size: f.checked("powerHint")?.unwrap_or(1.0),
-        place: hash(f.text("worker")?),
+        sort_key: hash(f.text("worker")?),
         started: f.optional("lastStartUs")?.filter(|at| *at > 0),
     })
 }
