--- a/crates/marker/src/state.rs
+++ b/crates/marker/src/state.rs
@@ -1,4 +1,5 @@
-//! One marker as a state machine: calls, words and ticks come in; what to send, write and answer goes out.
+//! A marker as a state machine without I/O: calls, messages and ticks are its input; messages to send, writes
+//! and responses are its output.
 
 use crate::core::{Core, CoreStatus};
 use crate::members::Members;
@@ -15,47 +16,51 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-/// How often totals go out, and what servers have beaten here.
-const TOTALS: Millis = 50;
-/// See [`TOTALS`].
-const ALIVE: Millis = 700;
-/// How often markers tell each other their sessions.
-const SESSIONS: Millis = 125;
-/// How often they do where nothing changed.
-const HERE: Millis = 1_000;
-/// How often markers tell each other what was let in: bytes between zones.
-const ADDS: Millis = 125;
-/// A marker has heard of all gatekeepers this long after its start; only then, or if it knows them from its disk, it says
-/// how many there are.
-const KNOWS: Millis = 1_200;
-/// How often the servers are put on disk, where they have changed.
-const SERVERS: Millis = 400;
-/// How often those that have not answered are asked again what was missed, and most of the core whom to end.
-const AGAIN: Millis = 300;
-const REAP: Millis = 600;
+/// How often gatekeepers get the totals of admitted requests.
+const TOTALS_INTERVAL: Millis = 50;
+/// How often other markers are sent which servers sent heartbeats here.
+const ALIVE_INTERVAL: Millis = 700;
+/// How often markers send each other their sessions where these have changed.
+const SESSIONS_INTERVAL: Millis = 125;
+/// How often they do so where nothing has changed.
+const SESSIONS_REFRESH_INTERVAL: Millis = 1_000;
+/// How often markers send each other the usage of their gatekeepers. It is longer than the interval of totals
+/// to limit the traffic between zones.
+const USAGE_INTERVAL: Millis = 125;
+/// This long after its start a marker has received the sessions of all others. Only then, or if it has read
+/// the gatekeepers from its disk, does it send how many there are.
+const MEMBERS_KNOWN_AFTER: Millis = 1_200;
+/// How often the servers are written to disk, where they have changed.
+const STORE_SERVERS_INTERVAL: Millis = 400;
+/// How often markers that have not answered a catch-up request are sent it again.
+const CATCH_UP_RETRY_INTERVAL: Millis = 300;
+/// How often the reaper asks again for confirmation that servers have timed out.
+const REAP_RETRY_INTERVAL: Millis = 600;
 
 /// What is known of another marker.
 #[derive(Default)]
 struct Peer {
-    /// Whether it was sent all servers since the connection came up.
+    /// Whether it was sent all servers since the connection was opened.
     greeted: bool,
-    heard: Millis,
+    last_message_at: Millis,
     zone: String,
 }
 
-/// What was missed out of contact, asked for under a number; the safe versions of those that have answered.
-struct Asking {
+/// A request for the changes missed without a quorum, under a number, and the committed versions of the
+/// markers that have answered.
+struct CatchUpRequest {
     number: u64,
     at: Millis,
     answers: BTreeMap<Ipv4Addr, Option<u32>>,
 }
 
-/// Servers that are to be ended, once most of the core have taken the reaper's number for it and miss them too.
-struct Reaping {
+/// Servers to be removed once a majority of the core has accepted the reaper's proposal number and confirms
+/// that their heartbeats have stopped there too.
+struct ReapRequest {
     ticket: u64,
     at: Millis,
     silent: Vec<Instance>,
-    told: BTreeSet<Ipv4Addr>,
+    confirmed_by: BTreeSet<Ipv4Addr>,
 }
 
 /// One marker.
@@ -68,65 +73,67 @@
     tally: Tally,
     peers: BTreeMap<Ipv4Addr, Peer>,
     members: Members,
-    /// The markers whose gatekeepers count together with those here.
+    /// The markers whose gatekeepers share quotas with those attached here.
     counts_with: BTreeSet<Ipv4Addr>,
-    /// The names of the gatekeepers that were put on disk last.
+    /// The names of the gatekeepers last written to disk.
     stored_members: Vec<String>,
-    /// Whether it is known how many gatekeepers there are; when this process began.
+    /// Whether the number of gatekeepers is known.
     knows_members: bool,
-    begun: Millis,
-    told_members: (u32, u32),
-    told_markers: Vec<Ipv4Addr>,
-    told_here: Vec<String>,
-    here_at: Millis,
-    adds_at: Millis,
+    /// When this process started.
+    started_at: Millis,
+    sent_member_counts: (u32, u32),
+    sent_markers: Vec<Ipv4Addr>,
+    sent_attached: Vec<String>,
+    sessions_refreshed_at: Millis,
+    usage_at: Millis,
     totals_at: Millis,
     alive_at: Millis,
     sessions_at: Millis,
     servers_at: Millis,
     servers_changed: bool,
-    /// Whether it is in contact with most of the core and has caught up with it; and since when it is so, or not.
-    contact: bool,
-    contact_at: Millis,
-    asking: Option<Asking>,
-    asked: u64,
-    reaping: Option<Reaping>,
+    /// Whether this marker has a quorum of the core and has caught up with it, and when that last changed.
+    in_quorum: bool,
+    quorum_changed_at: Millis,
+    catch_up: Option<CatchUpRequest>,
+    last_catch_up_number: u64,
+    reap: Option<ReapRequest>,
 }
 
-/// A call of a server or an operator, taken apart.
+/// A parsed call of a server or an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    /// A server says that it is there, or that it will leave.
+    /// The heartbeat of a server, which may say that it is draining.
     Beat {
-        /// Its life.
+        /// The id of the server's instance.
         id: String,
-        /// What it says.
+        /// The body of the request.
         body: Vec<u8>,
     },
-    /// A server ends.
+    /// A server deregisters.
     Leave {
-        /// Its life.
+        /// The id of the server's instance.
         id: String,
     },
-    /// An operator sends a configuration.
+    /// An operator replaces the configuration.
     Replace {
-        /// As it was sent.
+        /// The configuration document as it was sent.
         body: Vec<u8>,
     },
-    /// An operator asks for the newest.
+    /// An operator reads the newest configuration.
     Read,
-    /// An operator asks how things are.
+    /// An operator reads the status of this marker.
     Status,
 }
 
 impl Marker {
-    /// One whose core has kept what it has; servers beat so often, and these were known last.
-    pub fn new(mut core: Core, zone: String, beat: Millis, servers: Vec<Instance>) -> Marker {
-        let mut registry = Registry::new(beat);
+    /// Creates a marker with a restored core, the heartbeat interval of servers in ms, and the servers that
+    /// were stored last.
+    pub fn new(mut core: Core, zone: String, heartbeat_interval: Millis, servers: Vec<Instance>) -> Marker {
+        let mut registry = Registry::new(heartbeat_interval);
         for server in servers {
             registry.apply(0, server);
         }
-        let (ticket, asked, begun) = (core.draw_nonce(), core.draw_nonce(), core.now());
+        let (ticket, last_catch_up_number, started_at) = (core.draw_nonce(), core.draw_nonce(), core.now());
         Marker {
             core,
             zone,
@@ -139,74 +146,74 @@
             counts_with: BTreeSet::new(),
             stored_members: Vec::new(),
             knows_members: false,
-            begun,
-            told_members: (0, 0),
-            told_markers: Vec::new(),
-            told_here: Vec::new(),
-            here_at: 0,
-            adds_at: 0,
+            started_at,
+            sent_member_counts: (0, 0),
+            sent_markers: Vec::new(),
+            sent_attached: Vec::new(),
+            sessions_refreshed_at: 0,
+            usage_at: 0,
             totals_at: 0,
             alive_at: 0,
             sessions_at: 0,
             servers_at: 0,
             servers_changed: false,
-            contact: false,
-            contact_at: 0,
-            asking: None,
-            asked,
-            reaping: None,
+            in_quorum: false,
+            quorum_changed_at: 0,
+            catch_up: None,
+            last_catch_up_number,
+            reap: None,
         }
     }
 
-    /// With the gatekeepers that its disk names, and the window by which quotas are judged, ms.
+    /// Sets the gatekeepers that were read from disk and the quota window in ms.
     #[must_use]
     pub fn remembering(mut self, gatekeepers: Vec<String>, window: Millis) -> Marker {
         self.knows_members = !gatekeepers.is_empty();
         self.stored_members.clone_from(&gatekeepers);
-        self.members = Members::stored(self.begun, gatekeepers);
-        self.told_members = self.members.update(self.begun, false, |_| None);
-        self.tally = Tally::new(window, self.begun);
+        self.members = Members::stored(self.started_at, gatekeepers);
+        self.sent_member_counts = self.members.update(self.started_at, false, |_| None);
+        self.tally = Tally::new(window, self.started_at);
         self
     }
 
-    /// This marker.
+    /// The address and identity of this marker.
     pub fn me(&self) -> Node {
         self.core.me()
     }
 
-    /// The core from outside.
+    /// The status of the core.
     pub fn view(&self) -> CoreStatus {
         self.core.view()
     }
 
-    /// All other markers, to hold connections to.
+    /// All other markers, to which connections are kept open.
     pub fn known(&self) -> BTreeSet<Ipv4Addr> {
         self.core.known_markers()
     }
 
-    /// The settings name other seeds.
+    /// Replaces the seeds after the settings have changed.
     pub fn reseed(&mut self, seeds: &[Ipv4Addr]) {
         self.core.set_seeds(seeds);
     }
 
-    /// A call comes; it is answered under its number.
+    /// Handles a call, which is answered under its id.
     pub fn on_call(&mut self, now: Millis, id: u64, call: Call, out: &mut Vec<Output>) {
         match call {
-            Call::Beat { id: life, body } => match registry::parse_heartbeat(&life, &body) {
+            Call::Beat { id: instance_id, body } => match registry::parse_heartbeat(&instance_id, &body) {
                 Err((kind, text)) => out.push(Output::Answer(id, Reply::Failure(kind, text))),
                 Ok(instance) => {
                     let leaves = instance.state != InstanceState::Ready;
-                    // Beats stay in the server's zone where a marker is there.
-                    let reply = self.marker_of(&instance.zone).map_or(Reply::done(), Reply::Heartbeat);
+                    // Heartbeats stay in the server's zone where it has a marker.
+                    let reply = self.marker_in_zone(&instance.zone).map_or(Reply::done(), Reply::Heartbeat);
                     let changed = self.registry.on_heartbeat(now, instance);
-                    let leaves = self.registry.get(&life).filter(|_| leaves).cloned();
-                    self.spread(now, id, leaves, changed, reply, out);
+                    let leaves = self.registry.get(&instance_id).filter(|_| leaves).cloned();
+                    self.broadcast_change(now, id, leaves, changed, reply, out);
                 }
             },
-            Call::Leave { id: life } => {
-                let changed = self.registry.on_deregister(now, &life);
-                let leaves = self.registry.get(&life).cloned();
-                self.spread(now, id, leaves, changed, Reply::done(), out);
+            Call::Leave { id: instance_id } => {
+                let changed = self.registry.on_deregister(now, &instance_id);
+                let leaves = self.registry.get(&instance_id).cloned();
+                self.broadcast_change(now, id, leaves, changed, Reply::done(), out);
             }
             Call::Replace { body } => match configuration::parse(&body) {
                 Err(faults) => {
@@ -223,13 +230,14 @@
             Call::Read => self.core.on_read(now, id, out),
             Call::Status => out.push(Output::Answer(id, Reply::Json(self.status(now)))),
         }
-        self.after(now, out);
+        self.finish_step(now, out);
     }
 
-    /// Tells all what has changed of servers. A server that leaves is answered once all know; it is told on again each time
-    /// that it says so, as who knew before is not kept. Out of contact what it says is taken in and told on all the same,
-    /// but not acknowledged: the server then calls another marker, which the others may hear.
-    fn spread(
+    /// Sends changes of servers to all gatekeepers and markers. A server that leaves is answered once all
+    /// have acknowledged it. Its leaving is forwarded again with each of its calls, as earlier
+    /// acknowledgements are not stored. Without a quorum the change is applied and forwarded but not
+    /// acknowledged: the server then calls another marker, which may reach the others.
+    fn broadcast_change(
         &mut self,
         now: Millis,
         id: u64,
@@ -239,13 +247,10 @@
         out: &mut Vec<Output>,
     ) {
         if !changed.is_empty() {
-            self.tell_servers(changed.clone(), out);
+            self.send_servers(changed.clone(), out);
         }
-        let ticket = if !self.contact {
-            out.push(Output::Answer(
-                id,
-                Reply::failure(ErrorKind::Uncertain, "this marker is out of contact"),
-            ));
+        let ticket = if !self.in_quorum {
+            out.push(Output::Answer(id, Reply::failure(ErrorKind::Uncertain, "this marker has no quorum")));
             0
         } else if leaves.is_some() {
             let live = self.core.live_markers();
@@ -254,15 +259,16 @@
             out.push(Output::Answer(id, reply));
             0
         };
-        let words = match leaves {
+        let changes = match leaves {
             Some(leaves) if !changed.contains(&leaves) => changed.into_iter().chain([leaves]).collect(),
             _ => changed,
         };
-        self.pass_on(now, words, ticket, None, out);
+        self.forward_to_markers(now, changes, ticket, None, out);
     }
 
-    /// Tells the other markers what has changed of servers. Who is no more is kept for those that can't be told now.
-    fn pass_on(
+    /// Forwards changes of servers to the other markers. Servers that are gone are recorded for markers that
+    /// can't be reached now.
+    fn forward_to_markers(
         &mut self,
         now: Millis,
         changed: Vec<Instance>,
@@ -282,8 +288,8 @@
         }
     }
 
-    /// Hands over to a marker the next part of what it missed.
-    fn hand_over(&mut self, ip: Ipv4Addr, out: &mut Vec<Output>) {
+    /// Sends a marker the next batch of the changes that it missed.
+    fn send_missed_batch(&mut self, ip: Ipv4Addr, out: &mut Vec<Output>) {
         let ticket = self.sessions.next_ticket();
         let part = self.repair.next_batch(ip, ticket);
         if !part.is_empty() {
@@ -291,8 +297,9 @@
         }
     }
 
-    /// Takes in servers that are told on, and tells what changed. Gives that, and those whose end whoever told has missed.
-    fn learn(
+    /// Merges servers sent by another process and sends the changes to gatekeepers. Returns the changes, and
+    /// the servers that are gone without the sender knowing it.
+    fn merge_servers(
         &mut self,
         now: Millis,
         servers: Vec<Instance>,
@@ -301,18 +308,19 @@
         let (mut changed, mut ended) = (Vec::new(), Vec::new());
         for server in servers {
             match self.registry.merge(now, server) {
-                Merged::Changed(news) => changed.extend(news),
+                Merged::Changed(updates) => changed.extend(updates),
                 Merged::Ended(end) => ended.push(end),
             }
         }
         if !changed.is_empty() {
-            self.tell_servers(changed.clone(), out);
+            self.send_servers(changed.clone(), out);
         }
         (changed, ended)
     }
 
-    /// Takes in what another marker tells of servers, and says when all here know it.
-    fn take_servers(
+    /// Merges servers sent by another marker, and acknowledges once all gatekeepers with a session here have
+    /// confirmed.
+    fn on_peer_servers(
         &mut self,
         now: Millis,
         from: Ipv4Addr,
@@ -320,10 +328,11 @@
         servers: Vec<Instance>,
         out: &mut Vec<Output>,
     ) {
-        let (mut changed, ended) = self.learn(now, servers, out);
-        // Who leaves is told on once more: whoever told may not reach all that are reached from here.
+        let (mut changed, ended) = self.merge_servers(now, servers, out);
+        // Servers that leave are forwarded once more: the sender may not reach all markers that are reachable
+        // from here.
         changed.retain(|server| server.state != InstanceState::Ready);
-        self.pass_on(now, changed, 0, Some(from), out);
+        self.forward_to_markers(now, changed, 0, Some(from), out);
         if !ended.is_empty() {
             let ticket = self.sessions.next_ticket();
             self.repair.record_ends(now, from, &ended, ticket);
@@ -334,40 +343,44 @@
         }
     }
 
-    fn tell_servers(&mut self, changed: Vec<Instance>, out: &mut Vec<Output>) {
+    fn send_servers(&mut self, changed: Vec<Instance>, out: &mut Vec<Output>) {
         self.servers_changed = true;
         self.sessions.send_all(&Update::Servers(changed), out);
     }
 
-    /// Another marker says something.
-    pub fn on_word(&mut self, now: Millis, from: Node, word: PeerMessage, out: &mut Vec<Output>) {
-        self.peers.entry(from.ip).or_default().heard = now;
-        match word {
-            PeerMessage::Servers(ticket, servers) => self.take_servers(now, from.ip, ticket, servers, out),
+    /// Handles a message of another marker.
+    pub fn on_word(&mut self, now: Millis, from: Node, message: PeerMessage, out: &mut Vec<Output>) {
+        self.peers.entry(from.ip).or_default().last_message_at = now;
+        match message {
+            PeerMessage::Servers(ticket, servers) => self.on_peer_servers(now, from.ip, ticket, servers, out),
             PeerMessage::ConfirmExpired(number, ticket, servers) => {
                 if self.core.allows(Duty::Reaper, number) {
-                    let heard = self.registry.not_timed_out(now, &servers);
-                    let word = if heard.is_empty() {
+                    let alive = self.registry.not_timed_out(now, &servers);
+                    let message = if alive.is_empty() {
                         PeerMessage::Delivered(ticket)
                     } else {
-                        PeerMessage::Alive(heard)
+                        PeerMessage::Alive(alive)
                     };
-                    out.push(Output::SendToMarker(from.ip, word));
+                    out.push(Output::SendToMarker(from.ip, message));
                 } else {
-                    log::info!("{} reaps under number {}, which is over", from.ip, number.round);
+                    log::info!(
+                        "{} reaps with proposal number {}, which is superseded",
+                        from.ip,
+                        number.round
+                    );
                 }
             }
             PeerMessage::Delivered(ticket) => {
                 self.sessions.on_confirmed(from.ip, ticket);
                 self.on_reaped(now, from.ip, ticket, out);
                 if self.repair.on_acknowledged(from.ip, ticket) {
-                    self.hand_over(from.ip, out);
+                    self.send_missed_batch(from.ip, out);
                 }
             }
-            PeerMessage::Alive(lives) => {
-                let changed = self.registry.on_remote_heartbeats(now, &lives);
+            PeerMessage::Alive(instances) => {
+                let changed = self.registry.on_remote_heartbeats(now, &instances);
                 if !changed.is_empty() {
-                    self.tell_servers(changed, out);
+                    self.send_servers(changed, out);
                 }
             }
             PeerMessage::Sessions { zone, names, missed, ended } => {
@@ -378,33 +391,34 @@
                 ended.into_iter().for_each(|(name, age)| self.members.on_end(now, &name, age));
             }
             PeerMessage::GatekeeperLeft(name) => self.members.on_end(now, &name, 0),
-            // Others count without what is let in here: each leaves the other its part.
-            PeerMessage::Usage(adds) if self.counts_with.contains(&from.ip) => {
-                self.tally.add_usage(now, &adds)
+            // Usage from outside the quota group is ignored: each group leaves the other its share of the
+            // quotas.
+            PeerMessage::Usage(usage) if self.counts_with.contains(&from.ip) => {
+                self.tally.add_usage(now, &usage)
             }
             PeerMessage::Usage(_) => {}
             PeerMessage::CatchUp(number) => {
                 out.push(Output::SendToMarker(from.ip, PeerMessage::Servers(0, self.registry.snapshot())));
-                let sure = self.core.committed().map(|d| d.version);
-                out.push(Output::SendToMarker(from.ip, PeerMessage::CaughtUp(number, sure)));
+                let committed = self.core.committed().map(|d| d.version);
+                out.push(Output::SendToMarker(from.ip, PeerMessage::CaughtUp(number, committed)));
             }
-            PeerMessage::CaughtUp(number, sure) => {
-                if let Some(asking) = self.asking.as_mut().filter(|asking| asking.number == number) {
-                    asking.answers.insert(from.ip, sure);
+            PeerMessage::CaughtUp(number, committed) => {
+                if let Some(catch_up) = self.catch_up.as_mut().filter(|catch_up| catch_up.number == number) {
+                    catch_up.answers.insert(from.ip, committed);
                 }
             }
-            word => self.core.on_message(now, from, word, out),
+            message => self.core.on_message(now, from, message, out),
         }
-        self.after(now, out);
+        self.finish_step(now, out);
     }
 
-    /// A connection to another marker is up, or down.
+    /// Handles the opening or the loss of a connection to another marker.
     pub fn on_line(&mut self, now: Millis, ip: Ipv4Addr, up: bool, out: &mut Vec<Output>) {
         if up {
             self.core.on_connected();
-            // What was asked while the line was down went nowhere.
-            if let Some(asking) = &mut self.asking {
-                asking.at = 0;
+            // Requests made while the connection was down were not delivered: send them again.
+            if let Some(catch_up) = &mut self.catch_up {
+                catch_up.at = 0;
             }
         } else {
             self.core.on_disconnected(now, ip);
@@ -413,9 +427,9 @@
         let greets = up && !peer.greeted;
         peer.greeted = up;
         if greets {
-            // Who is no more comes first: its address may be another's by now.
+            // Servers that are gone come first: another server may have their address by now.
             self.repair.on_connected(ip);
-            self.hand_over(ip, out);
+            self.send_missed_batch(ip, out);
             let all = self.registry.live();
             if !all.is_empty() {
                 out.push(Output::SendToMarker(ip, PeerMessage::Servers(0, all)));
@@ -423,31 +437,31 @@
         }
     }
 
-    /// A gatekeeper says something.
-    pub fn on_up(&mut self, now: Millis, session: SessionId, word: ToMarker, out: &mut Vec<Output>) {
-        match word {
-            ToMarker::Hello { incarnation: life, name, in_force: has, servers } => {
-                // What it knows may be more than is known here, after a start of all.
-                let (_, ended) = self.learn(now, servers, out);
+    /// Handles a message of a gatekeeper.
+    pub fn on_up(&mut self, now: Millis, session: SessionId, message: ToMarker, out: &mut Vec<Output>) {
+        match message {
+            ToMarker::Hello { incarnation, name, in_force, servers } => {
+                // After a restart of all markers a gatekeeper may know more servers than this marker.
+                let (_, ended) = self.merge_servers(now, servers, out);
                 let (all, markers) = (self.registry.live(), self.markers());
                 self.sessions.open(
                     now,
                     session,
-                    life,
+                    incarnation,
                     name,
-                    has,
+                    in_force,
                     self.core.committed(),
                     all,
                     markers,
                     &self.zone,
                     out,
                 );
-                self.sessions.send(session, Update::Contact(self.contact), out);
+                self.sessions.send(session, Update::Contact(self.in_quorum), out);
                 if !ended.is_empty() {
                     self.sessions.send(session, Update::Servers(ended), out);
                 }
                 if self.knows_members {
-                    let (all, missed) = self.told_members;
+                    let (all, missed) = self.sent_member_counts;
                     self.sessions.send(session, Update::Gatekeepers(all, missed), out);
                 }
             }
@@ -455,25 +469,25 @@
                 self.sessions.on_ping(now, session);
                 out.push(Output::SendToGatekeeper(session, ToGatekeeper::Pong));
             }
-            ToMarker::Attach(home) => {
+            ToMarker::Attach(attach) => {
                 self.tally.detach(session);
-                if let (true, Some(life)) = (home, self.sessions.incarnation(session)) {
-                    self.tally.attach(session, life);
+                if let (true, Some(incarnation)) = (attach, self.sessions.incarnation(session)) {
+                    self.tally.attach(session, incarnation);
                 }
-                self.sessions.on_attached(session, home);
+                self.sessions.on_attached(session, attach);
                 self.sessions_at = 0;
             }
             ToMarker::Acknowledge(number) => self.sessions.on_acknowledged(session, number, out),
             ToMarker::InForce(revision) => self.sessions.on_in_force(session, revision),
             ToMarker::RequestFull(revision) => self.sessions.on_difference_failed(session, revision, out),
-            ToMarker::Usage(number, adds) => self.tally.on_usage(now, session, number, &adds),
-            ToMarker::Leave => self.on_leaving(now, session, out),
+            ToMarker::Usage(number, usage) => self.tally.on_usage(now, session, number, &usage),
+            ToMarker::Leave => self.on_gatekeeper_leaving(now, session, out),
         }
-        self.after(now, out);
+        self.finish_step(now, out);
     }
 
-    /// A gatekeeper says that its process ends: its part of each quota is the others'.
-    fn on_leaving(&mut self, now: Millis, session: SessionId, out: &mut Vec<Output>) {
+    /// Handles the shutdown of a gatekeeper, whose share of each quota passes to the others.
+    fn on_gatekeeper_leaving(&mut self, now: Millis, session: SessionId, out: &mut Vec<Output>) {
         let Some(name) = self.sessions.name(session) else { return };
         self.tally.detach(session);
         self.members.on_end(now, &name, 0);
@@ -482,25 +496,28 @@
         }
     }
 
-    /// A session ends; `closed` says that its peer closed it. A gatekeeper that goes on says first that this is not its home
-    /// any more: one that has not is no more. A broken or silent connection says nothing of its gatekeeper.
+    /// Handles the end of a session; `closed` is whether its peer closed it. A gatekeeper that keeps running
+    /// detaches first, so one that closes while attached has ended. A broken or silent connection does not
+    /// show that its gatekeeper has ended.
     pub fn on_closed(&mut self, now: Millis, session: SessionId, closed: bool, out: &mut Vec<Output>) {
-        let is_home =
-            self.sessions.incarnation(session).is_some_and(|life| self.tally.incarnations().contains(&life));
-        if closed && is_home {
-            self.on_leaving(now, session, out);
+        let is_attached = self
+            .sessions
+            .incarnation(session)
+            .is_some_and(|incarnation| self.tally.incarnations().contains(&incarnation));
+        if closed && is_attached {
+            self.on_gatekeeper_leaving(now, session, out);
         }
         self.tally.detach(session);
         self.sessions.close(session);
     }
 
-    /// All writes up to this ticket are on disk.
+    /// Handles that all writes up to this ticket are on disk.
     pub fn on_written(&mut self, now: Millis, ticket: u64, out: &mut Vec<Output>) {
         self.core.on_written(now, ticket, out);
-        self.after(now, out);
+        self.finish_step(now, out);
     }
 
-    /// The process is about to end, once it may.
+    /// Starts the shutdown of this marker; see [`Marker::may_end`].
     pub fn on_leave(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.core.on_leave(now, out);
     }
@@ -515,19 +532,19 @@
         self.core.sole_copy_version()
     }
 
-    /// Time passes.
+    /// Does the periodic work that is due.
     pub fn on_tick(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.core.on_tick(now, out);
         self.sessions.on_tick(now, out);
-        self.registry.on_tick(now, !self.contact);
+        self.registry.on_tick(now, !self.in_quorum);
         self.reap(now, out);
         let peers: Vec<Ipv4Addr> = self.core.live_markers();
-        if now >= self.totals_at + TOTALS {
+        if now >= self.totals_at + TOTALS_INTERVAL {
             self.totals_at = now;
-            let due = now >= self.adds_at + ADDS;
+            let due = now >= self.usage_at + USAGE_INTERVAL;
             let batch = if due { self.tally.take_batch() } else { Vec::new() };
             if !batch.is_empty() {
-                self.adds_at = now;
+                self.usage_at = now;
                 out.extend(
                     peers.iter().map(|ip| Output::SendToMarker(*ip, PeerMessage::Usage(batch.clone()))),
                 );
@@ -535,77 +552,78 @@
             for (id, recent) in self.tally.take_recent_use(now) {
                 out.push(Output::SendToGatekeeper(id, ToGatekeeper::Recent(recent)));
             }
-            let news = self.tally.take_updates(now).into_iter();
-            out.extend(news.map(|(id, number, totals)| {
+            let updates = self.tally.take_updates(now).into_iter();
+            out.extend(updates.map(|(id, number, totals)| {
                 Output::SendToGatekeeper(id, ToGatekeeper::Totals(number, totals))
             }));
         }
-        if now >= self.alive_at + ALIVE {
+        if now >= self.alive_at + ALIVE_INTERVAL {
             self.alive_at = now;
-            let beaten = self.registry.take_local_heartbeats();
-            if !beaten.is_empty() {
+            let alive = self.registry.take_local_heartbeats();
+            if !alive.is_empty() {
                 out.extend(
-                    peers.iter().map(|ip| Output::SendToMarker(*ip, PeerMessage::Alive(beaten.clone()))),
+                    peers.iter().map(|ip| Output::SendToMarker(*ip, PeerMessage::Alive(alive.clone()))),
                 );
             }
         }
-        if self.servers_changed && now >= self.servers_at + SERVERS {
+        if self.servers_changed && now >= self.servers_at + STORE_SERVERS_INTERVAL {
             (self.servers_at, self.servers_changed) = (now, false);
             out.push(Output::StoreServers(self.registry.live()));
         }
-        if now >= self.sessions_at + SESSIONS {
+        if now >= self.sessions_at + SESSIONS_INTERVAL {
             self.sessions_at = now;
             let known = self.core.known_markers();
             self.repair.expire(now, |ip| known.contains(ip));
-            self.look_at_members(now, &peers, out);
+            self.update_members(now, &peers, out);
             let markers = self.markers();
-            if markers != self.told_markers {
-                self.told_markers.clone_from(&markers);
+            if markers != self.sent_markers {
+                self.sent_markers.clone_from(&markers);
                 self.sessions.send_all(&Update::Markers(markers), out);
             }
         }
-        self.after(now, out);
+        self.finish_step(now, out);
     }
 
-    /// Tells the other markers whose home this one is, and gatekeepers how many there are, where it has changed.
-    fn look_at_members(&mut self, now: Millis, peers: &[Ipv4Addr], out: &mut Vec<Output>) {
+    /// Sends the other markers the gatekeepers attached here, and gatekeepers their number where it has
+    /// changed.
+    fn update_members(&mut self, now: Millis, peers: &[Ipv4Addr], out: &mut Vec<Output>) {
         let here = self.sessions.names(now, &self.tally.incarnations());
         self.members.on_report(now, self.core.me().ip, here.clone(), true);
-        if here != self.told_here || now >= self.here_at + HERE {
-            (self.told_here, self.here_at) = (here.clone(), now);
+        if here != self.sent_attached || now >= self.sessions_refreshed_at + SESSIONS_REFRESH_INTERVAL {
+            (self.sent_attached, self.sessions_refreshed_at) = (here.clone(), now);
             let (missed, ended) = (self.members.missing(now), self.members.ended(now));
-            let word = PeerMessage::Sessions { zone: self.zone.clone(), names: here, missed, ended };
-            out.extend(peers.iter().map(|ip| Output::SendToMarker(*ip, word.clone())));
+            let message = PeerMessage::Sessions { zone: self.zone.clone(), names: here, missed, ended };
+            out.extend(peers.iter().map(|ip| Output::SendToMarker(*ip, message.clone())));
         }
         self.counts_with = self.core.quota_group();
         let all_together = self.core.quota_group_is_complete(&self.counts_with);
-        let (counted, heard) = (&self.counts_with, &self.peers);
+        let (counted, peers_by_ip) = (&self.counts_with, &self.peers);
         let counts = self.members.update(now, all_together, |ip| {
-            heard.get(&ip).filter(|_| counted.contains(&ip)).map(|peer| peer.heard)
+            peers_by_ip.get(&ip).filter(|_| counted.contains(&ip)).map(|peer| peer.last_message_at)
         });
-        self.knows_members |= now >= self.begun + KNOWS;
+        self.knows_members |= now >= self.started_at + MEMBERS_KNOWN_AFTER;
         if self.knows_members {
-            let (all, missed) = self.told_members;
+            let (all, missed) = self.sent_member_counts;
             self.tally.set_quota_fraction(now, f64::from(all - missed.min(all)) / f64::from(all.max(1)));
         }
-        if counts != self.told_members && self.knows_members {
-            self.told_members = counts;
+        if counts != self.sent_member_counts && self.knows_members {
+            self.sent_member_counts = counts;
             self.sessions.send_all(&Update::Gatekeepers(counts.0, counts.1), out);
         }
         let names = self.members.names();
-        if names != self.stored_members && now >= self.begun + KNOWS {
+        if names != self.stored_members && now >= self.started_at + MEMBERS_KNOWN_AFTER {
             out.push(Output::StoreGatekeepers(names.clone()));
             self.stored_members = names;
         }
     }
 
-    /// Has the servers ended whose beats have stopped, where that is this marker's duty.
+    /// Starts removing servers whose heartbeats have stopped, if this marker holds the duty of the reaper.
     fn reap(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let Some(number) = self.core.holds(Duty::Reaper).filter(|_| self.contact) else {
-            self.reaping = None;
+        let Some(number) = self.core.holds(Duty::Reaper).filter(|_| self.in_quorum) else {
+            self.reap = None;
             return;
         };
-        let waits = self.reaping.as_ref().is_some_and(|reaping| now < reaping.at + REAP);
+        let waits = self.reap.as_ref().is_some_and(|reap| now < reap.at + REAP_RETRY_INTERVAL);
         let silent = if waits { Vec::new() } else { self.registry.timed_out(now) };
         if silent.is_empty() {
             return;
@@ -614,67 +632,71 @@
         for ip in self.core.known_markers() {
             out.push(Output::SendToMarker(ip, PeerMessage::ConfirmExpired(number, ticket, silent.clone())));
         }
-        self.reaping = Some(Reaping { ticket, at: now, silent, told: BTreeSet::new() });
+        self.reap = Some(ReapRequest { ticket, at: now, silent, confirmed_by: BTreeSet::new() });
         self.on_reaped(now, self.core.me().ip, ticket, out);
     }
 
-    /// A marker has taken the reaper's number, and misses those servers too. Once most of the core do they are ended: one
-    /// that was away, or to which one other is silent, ends nobody who beats where most hear of it.
+    /// Handles the confirmation of a marker that the servers have timed out there too. They are removed once
+    /// a majority of the core has confirmed, so that a marker that was cut off, or misses the messages of one
+    /// other, removes no server whose heartbeats the majority receives.
     fn on_reaped(&mut self, now: Millis, from: Ipv4Addr, ticket: u64, out: &mut Vec<Output>) {
-        let Some(reaping) = self.reaping.as_mut().filter(|reaping| reaping.ticket == ticket) else { return };
-        reaping.told.insert(from);
-        if !self.core.majority_of_core(|ip| reaping.told.contains(&ip)) {
+        let Some(reap) = self.reap.as_mut().filter(|reap| reap.ticket == ticket) else { return };
+        reap.confirmed_by.insert(from);
+        if !self.core.majority_of_core(|ip| reap.confirmed_by.contains(&ip)) {
             return;
         }
-        let Some(Reaping { silent, .. }) = self.reaping.take() else { return };
+        let Some(ReapRequest { silent, .. }) = self.reap.take() else { return };
         let ended = self.registry.end_timed_out(now, silent);
         if !ended.is_empty() {
-            self.tell_servers(ended.clone(), out);
-            self.pass_on(now, ended, 0, None, out);
+            self.send_servers(ended.clone(), out);
+            self.forward_to_markers(now, ended, 0, None, out);
         }
     }
 
-    /// Says out of contact when it hears no majority, or is not heard by it; and in contact once a majority has answered, since
-    /// then, what was missed, and the newest version that it named is here. The number of the asking decides, not the time.
-    fn watch_contact(&mut self, now: Millis, out: &mut Vec<Output>) {
+    /// Reports the loss of the quorum when no majority is reachable in both directions. Reports the quorum
+    /// again once a majority has answered a catch-up request made since then and the newest version named in
+    /// the answers is committed here. Answers are matched by the number of the request, not by time.
+    fn update_quorum_state(&mut self, now: Millis, out: &mut Vec<Output>) {
         if !self.core.has_quorum() {
-            self.asking = None;
-            if std::mem::take(&mut self.contact) {
-                self.turn(now, out);
+            self.catch_up = None;
+            if std::mem::take(&mut self.in_quorum) {
+                self.announce_quorum_state(now, out);
             }
             return;
         }
-        if self.contact {
+        if self.in_quorum {
             return;
         }
-        if self.asking.is_none() {
-            self.asked += 1;
-            self.asking = Some(Asking { number: self.asked, at: 0, answers: BTreeMap::new() });
-        }
-        let (live, sure) = (self.core.live_markers(), self.core.committed().map(|d| d.version));
-        let Some(asking) = self.asking.as_mut() else { return };
-        if now >= asking.at + AGAIN || asking.at == 0 {
-            asking.at = now;
-            for ip in live.into_iter().filter(|ip| !asking.answers.contains_key(ip)) {
-                out.push(Output::SendToMarker(ip, PeerMessage::CatchUp(asking.number)));
+        if self.catch_up.is_none() {
+            self.last_catch_up_number += 1;
+            self.catch_up =
+                Some(CatchUpRequest { number: self.last_catch_up_number, at: 0, answers: BTreeMap::new() });
+        }
+        let (live, committed) = (self.core.live_markers(), self.core.committed().map(|d| d.version));
+        let Some(catch_up) = self.catch_up.as_mut() else { return };
+        if now >= catch_up.at + CATCH_UP_RETRY_INTERVAL || catch_up.at == 0 {
+            catch_up.at = now;
+            for ip in live.into_iter().filter(|ip| !catch_up.answers.contains_key(ip)) {
+                out.push(Output::SendToMarker(ip, PeerMessage::CatchUp(catch_up.number)));
             }
         }
-        let answered = self.core.majority_of_core(|ip| asking.answers.contains_key(&ip));
-        if answered && asking.answers.values().all(|theirs| *theirs <= sure) {
-            (self.contact, self.asking) = (true, None);
-            self.turn(now, out);
+        let answered = self.core.majority_of_core(|ip| catch_up.answers.contains_key(&ip));
+        if answered && catch_up.answers.values().all(|theirs| *theirs <= committed) {
+            (self.in_quorum, self.catch_up) = (true, None);
+            self.announce_quorum_state(now, out);
         }
     }
 
-    fn turn(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let since = now - self.contact_at;
-        log::info!("{} contact, after {since} ms", if self.contact { "in" } else { "out of" });
-        self.contact_at = now;
-        self.sessions.send_all(&Update::Contact(self.contact), out);
+    /// Logs a change of the quorum state and sends it to all gatekeepers.
+    fn announce_quorum_state(&mut self, now: Millis, out: &mut Vec<Output>) {
+        let since = now - self.quorum_changed_at;
+        log::info!("quorum {} after {since} ms", if self.in_quorum { "regained" } else { "lost" });
+        self.quorum_changed_at = now;
+        self.sessions.send_all(&Update::Contact(self.in_quorum), out);
     }
 
-    /// A marker of a zone that is heard, where it is another than this one's.
-    fn marker_of(&self, zone: &str) -> Option<Ipv4Addr> {
+    /// A reachable marker of a zone, if the zone is not this marker's own.
+    fn marker_in_zone(&self, zone: &str) -> Option<Ipv4Addr> {
         let live = self.core.live_markers();
         let of = |(ip, peer): &(&Ipv4Addr, &Peer)| peer.zone == zone && live.contains(ip);
         let mut peers = self.peers.iter().filter(|_| zone != self.zone);
@@ -688,9 +710,9 @@
         markers
     }
 
-    /// What follows from anything.
-    fn after(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let sure: Vec<_> = out
+    /// Finishes each step: handles committed documents, the quorum state and finished waits.
+    fn finish_step(&mut self, now: Millis, out: &mut Vec<Output>) {
+        let committed: Vec<_> = out
             .iter()
             .filter_map(|o| match o {
                 Output::Committed(document) => Some(document.clone()),
@@ -698,19 +720,24 @@
             })
             .collect();
         out.retain(|o| !matches!(o, Output::Committed(_)));
-        for document in sure {
+        for document in committed {
             self.sessions.on_committed(now, &document, out);
         }
-        // After what is safe, so that whoever hears of contact has what came with it.
-        self.watch_contact(now, out);
-        for (waiter, told) in self.sessions.finished_waits(now) {
-            // A gatekeeper in touch has a session with one of any majority, or is told all when it opens one.
-            let most = || self.contact && self.core.majority_of_core(|ip| told.contains(&ip));
+        // After the committed documents, so that a gatekeeper that learns of the quorum already has them.
+        self.update_quorum_state(now, out);
+        for (waiter, confirmed_by) in self.sessions.finished_waits(now) {
+            // A gatekeeper in sync has a session with a marker of any majority, or receives all servers when
+            // it opens one.
+            let is_majority =
+                || self.in_quorum && self.core.majority_of_core(|ip| confirmed_by.contains(&ip));
             out.push(match waiter {
-                Waiter::Call(id) if most() => Output::Answer(id, Reply::done()),
+                Waiter::Call(id) if is_majority() => Output::Answer(id, Reply::done()),
                 Waiter::Call(id) => Output::Answer(
                     id,
-                    Reply::failure(ErrorKind::Uncertain, "most markers have not said that all know"),
+                    Reply::failure(
+                        ErrorKind::Uncertain,
+                        "a majority of markers has not confirmed that all gatekeepers have the change",
+                    ),
                 ),
                 Waiter::Marker(ip, ticket) => Output::SendToMarker(ip, PeerMessage::Delivered(ticket)),
             });
@@ -739,8 +766,8 @@
         serde_json::json!({
             "marker": self.me().ip.to_string(),
             "leads": view.is_primary,
-            "contact": self.contact,
-            "contact-for-ms": now - self.contact_at,
+            "contact": self.in_quorum,
+            "contact-for-ms": now - self.quorum_changed_at,
             "epoch": epoch,
             "version": view.committed.map(|v| format!("{v:08x}")),
             "numbers-held": view.versions.0,
