--- a/crates/marker/src/run.rs
+++ b/crates/marker/src/run.rs
@@ -1,4 +1,4 @@
-//! What joins a marker's state machine to sockets, disk and signals.
+//! The runtime of a marker: connects its state machine to sockets, disk and signals.
 
 use crate::calls;
 use crate::core::{self, Core};
@@ -26,134 +26,142 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
-/// How often the state machine looks at the time.
-const TICK: Duration = Duration::from_millis(25);
-/// A peer that says nothing for so long is gone: it would have said something ten times.
-const SILENCE: Duration = Duration::from_secs(2);
-/// A line that only goes out hears nothing.
-const NEVER: Duration = Duration::from_secs(1 << 20);
-/// Connections of servers and operators at once.
+/// The interval of ticks of the state machine.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// A peer that sends nothing for this long is taken as disconnected: it should have sent ten messages in that
+/// time.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The receive timeout of outgoing connections, on which nothing is received.
+const NO_TIMEOUT: Duration = Duration::from_secs(1 << 20);
+/// The most concurrent connections of servers and operators.
 const CONNECTIONS_MAX: usize = 1_000;
-/// How often the settings file is looked at.
-const SETTINGS: Duration = Duration::from_secs(2);
-/// Longest wait before another marker is dialled again: one that was cut off is back soon after its links are.
-const REDIAL: Duration = Duration::from_millis(500);
-/// How long a marker that was told to end goes on at least, so that whoever takes over has done so.
-const LEAVE: Duration = Duration::from_millis(400);
-/// It goes on until all that it holds is held elsewhere, but ends this long before the grace period does.
-const LEAVE_BEFORE: Duration = Duration::from_millis(500);
+/// How often the settings file is read.
+const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
+/// The longest delay before a connection to another marker is retried, so that a marker that was cut off is
+/// connected again soon after its links work.
+const RECONNECT_DELAY_MAX: Duration = Duration::from_millis(500);
+/// The shortest time that a marker keeps running after SIGTERM, so that others can take over its duties.
+const SHUTDOWN_MIN: Duration = Duration::from_millis(400);
+/// A marker keeps running until all that it stores is replicated elsewhere, but exits this long before the
+/// end of the grace period.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
 
-/// Why a marker ends.
+/// Why a marker can't run.
 #[derive(Debug, Snafu)]
 pub enum Failure {
-    /// An address can't be listened at.
+    /// An address can't be bound.
     #[snafu(display("{address}: {source}"))]
     Listen {
-        /// Which.
+        /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The folder can't be used.
+    /// The data directory can't be used.
     #[snafu(display("{source}"))]
-    Folder {
-        /// Why.
+    DataDirectory {
+        /// The cause.
         source: store::Fault,
     },
-    /// A signal can't be waited for.
+    /// A signal handler can't be installed.
     #[snafu(display("signals: {source}"))]
     Signals {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
 }
 
-/// One marker in its process.
-struct Exchange {
+/// The state shared by all tasks of a marker's process.
+struct Runtime {
     marker: RefCell<Marker>,
-    begun: Instant,
+    started_at: Instant,
     control: SocketAddrV4,
     internal_port: u16,
     writes: mpsc::Sender<Job>,
-    lines: RefCell<BTreeMap<Ipv4Addr, Sender>>,
+    connections_to_markers: RefCell<BTreeMap<Ipv4Addr, Sender>>,
     sessions: RefCell<BTreeMap<SessionId, Sender>>,
     calls: RefCell<BTreeMap<u64, oneshot::Sender<Reply>>>,
-    next: Cell<u64>,
+    next_id: Cell<u64>,
     connections: Cell<usize>,
-    leaving: Cell<bool>,
-    /// Bytes that may wait in all for peers that do not read; with more the one that holds most is given up.
+    is_shutting_down: Cell<bool>,
+    /// The most bytes that may be buffered in all for peers that do not read. Above it the connection with
+    /// the largest buffer is aborted.
     unsent_max: usize,
-    said: Said,
+    sent: SentCounts,
 }
 
-/// What was said so far: messages and bytes, by kind.
+/// The messages and bytes sent so far, by kind of message.
 #[derive(Default)]
-struct Said {
+struct SentCounts {
     markers: RefCell<BTreeMap<&'static str, (u64, u64)>>,
     gatekeepers: RefCell<BTreeMap<&'static str, (u64, u64)>>,
 }
 
-/// Says a word and counts it.
-fn say(line: &Sender, word: &Message, counts: &RefCell<BTreeMap<&'static str, (u64, u64)>>) {
-    let size = line.send(word);
+/// Sends a message and counts it.
+fn send_counted(sender: &Sender, message: &Message, counts: &RefCell<BTreeMap<&'static str, (u64, u64)>>) {
+    let size = sender.send(message);
     if size > 0 {
         let mut counts = counts.borrow_mut();
-        let (messages, bytes) = counts.entry(word.kind()).or_default();
+        let (messages, bytes) = counts.entry(message.kind()).or_default();
         (*messages, *bytes) = (*messages + 1, *bytes + size as u64);
     }
 }
 
-/// The status with what was said so far.
-fn with_counts(reply: Reply, said: &Said) -> Reply {
+/// Adds the counts of sent messages to a status.
+fn with_counts(reply: Reply, sent: &SentCounts) -> Reply {
     let Reply::Json(text) = &reply else { return reply };
     let Ok(serde_json::Value::Object(mut status)) = serde_json::from_str(text) else { return reply };
-    status.insert("said-to-markers".into(), serde_json::json!(*said.markers.borrow()));
-    status.insert("said-to-gatekeepers".into(), serde_json::json!(*said.gatekeepers.borrow()));
+    status.insert("said-to-markers".into(), serde_json::json!(*sent.markers.borrow()));
+    status.insert("said-to-gatekeepers".into(), serde_json::json!(*sent.gatekeepers.borrow()));
     Reply::Json(serde_json::Value::Object(status).to_string())
 }
 
-impl Exchange {
+impl Runtime {
     fn now(&self) -> Millis {
-        self.begun.elapsed().as_millis() as Millis
+        self.started_at.elapsed().as_millis() as Millis
     }
 
-    fn number(&self) -> u64 {
-        self.next.set(self.next.get() + 1);
-        self.next.get()
+    fn new_id(&self) -> u64 {
+        self.next_id.set(self.next_id.get() + 1);
+        self.next_id.get()
     }
 
-    /// Gives up the line that holds most where too much waits in all.
-    fn bound_unsent(&self) {
-        let (sessions, lines) = (self.sessions.borrow(), self.lines.borrow());
-        let all = || sessions.values().chain(lines.values());
+    /// Aborts the connection with the most unsent bytes if all together exceed the limit.
+    fn limit_unsent(&self) {
+        let (sessions, connections_to_markers) =
+            (self.sessions.borrow(), self.connections_to_markers.borrow());
+        let all = || sessions.values().chain(connections_to_markers.values());
         if all().map(Sender::unsent).sum::<usize>() > self.unsent_max {
-            if let Some(most) = all().max_by_key(|line| line.unsent()) {
-                log::warn!("{} bytes wait for a peer that does not read: its line is ended", most.unsent());
-                most.abort();
+            if let Some(largest) = all().max_by_key(|sender| sender.unsent()) {
+                log::warn!(
+                    "{} bytes unsent to a peer that does not read: connection aborted",
+                    largest.unsent()
+                );
+                largest.abort();
             }
         }
     }
 
-    /// Has the state machine take something in, and does what it returns.
-    fn step(self: &Rc<Self>, take: impl FnOnce(&mut Marker, Millis, &mut Vec<Output>)) {
+    /// Passes an input to the state machine and performs the outputs that it returns.
+    fn step(self: &Rc<Self>, handle: impl FnOnce(&mut Marker, Millis, &mut Vec<Output>)) {
         let mut out = Vec::new();
-        take(&mut self.marker.borrow_mut(), self.now(), &mut out);
+        handle(&mut self.marker.borrow_mut(), self.now(), &mut out);
         for output in out {
             match output {
-                Output::SendToMarker(ip, word) => {
+                Output::SendToMarker(ip, message) => {
                     let me = self.marker.borrow().me();
-                    if let Some(line) = self.lines.borrow().get(&ip) {
-                        say(line, &Message::Peer(me, word), &self.said.markers);
+                    if let Some(sender) = self.connections_to_markers.borrow().get(&ip) {
+                        send_counted(sender, &Message::Peer(me, message), &self.sent.markers);
                     }
                 }
-                Output::SendToGatekeeper(id, word) => {
+                Output::SendToGatekeeper(id, message) => {
                     if let Some(session) = self.sessions.borrow().get(&id) {
-                        say(session, &Message::ToGatekeeper(word), &self.said.gatekeepers);
+                        send_counted(session, &Message::ToGatekeeper(message), &self.sent.gatekeepers);
                     }
                 }
-                Output::Persist(ticket, keeping) => {
-                    // The writer ends with the process only.
-                    let _ = self.writes.send(Job::Keep(ticket, keeping));
+                Output::Persist(ticket, state) => {
+                    // Can't fail: the writer thread runs as long as the process.
+                    let _ = self.writes.send(Job::State(ticket, state));
                 }
                 Output::CloseSession(id) => {
                     if let Some(session) = self.sessions.borrow().get(&id) {
@@ -168,98 +176,100 @@
                 }
                 Output::Answer(id, reply) => {
                     if let Some(call) = self.calls.borrow_mut().remove(&id) {
-                        // Whoever called may have gone.
+                        // The caller may have disconnected.
                         let _ = call.send(reply);
                     }
                 }
                 Output::Committed(_) => {}
             }
         }
-        let known = self.marker.borrow().known();
+        let known_markers = self.marker.borrow().known();
         let missing: Vec<Ipv4Addr> = {
-            let lines = self.lines.borrow();
-            known.into_iter().filter(|ip| !lines.contains_key(ip)).collect()
+            let connections_to_markers = self.connections_to_markers.borrow();
+            known_markers.into_iter().filter(|ip| !connections_to_markers.contains_key(ip)).collect()
         };
         for ip in missing {
-            self.lines.borrow_mut().insert(ip, Sender::default());
-            spawn_local(hold_line(self.clone(), ip));
+            self.connections_to_markers.borrow_mut().insert(ip, Sender::default());
+            spawn_local(maintain_connection(self.clone(), ip));
         }
     }
 }
 
-/// Holds a connection to another marker as long as that is known.
-async fn hold_line(exchange: Rc<Exchange>, ip: Ipv4Addr) {
+/// Keeps a connection to another marker open as long as the marker is known.
+async fn maintain_connection(runtime: Rc<Runtime>, ip: Ipv4Addr) {
     let mut backoff = Backoff::new(fastrand::u64(..));
-    let to = SocketAddr::from((ip, exchange.internal_port));
-    while exchange.marker.borrow().known().contains(&ip) {
+    let to = SocketAddr::from((ip, runtime.internal_port));
+    while runtime.marker.borrow().known().contains(&ip) {
         let stream = match connection::connect(to).await {
             Ok(stream) => stream,
             Err(ended) => {
                 log::info!("{ip}: {ended}");
-                tokio::time::sleep(backoff.next_wait().min(REDIAL)).await;
+                tokio::time::sleep(backoff.next_wait().min(RECONNECT_DELAY_MAX)).await;
                 continue;
             }
         };
         backoff.reset();
         let sender = Sender::default();
-        exchange.lines.borrow_mut().insert(ip, sender.clone());
-        exchange.step(|marker, now, out| marker.on_line(now, ip, true, out));
-        let ended = connection::run(stream, sender, NEVER, |_| {}).await;
+        runtime.connections_to_markers.borrow_mut().insert(ip, sender.clone());
+        runtime.step(|marker, now, out| marker.on_line(now, ip, true, out));
+        let ended = connection::run(stream, sender, NO_TIMEOUT, |_| {}).await;
         log::info!("{ip}: {ended}");
-        exchange.step(|marker, now, out| marker.on_line(now, ip, false, out));
-        tokio::time::sleep(backoff.next_wait().min(REDIAL)).await;
+        runtime.step(|marker, now, out| marker.on_line(now, ip, false, out));
+        tokio::time::sleep(backoff.next_wait().min(RECONNECT_DELAY_MAX)).await;
     }
-    exchange.lines.borrow_mut().remove(&ip);
+    runtime.connections_to_markers.borrow_mut().remove(&ip);
 }
 
-/// What another process says on a connection that it opened.
-async fn take_in(exchange: Rc<Exchange>, stream: TcpStream) {
-    let id = exchange.number();
+/// Handles the messages on a connection that another process opened.
+async fn receive_messages(runtime: Rc<Runtime>, stream: TcpStream) {
+    let id = runtime.new_id();
     let sender = Sender::default();
-    let taken = exchange.clone();
-    let back = sender.clone();
-    let ended = connection::run(stream, sender.clone(), SILENCE, move |word| match word {
-        Message::Peer(from, word) => taken.step(|marker, now, out| marker.on_word(now, from, word, out)),
-        Message::ToMarker(word) => {
-            taken.sessions.borrow_mut().entry(id).or_insert_with(|| back.clone());
-            taken.step(|marker, now, out| marker.on_up(now, id, word, out));
+    let shared = runtime.clone();
+    let reply_sender = sender.clone();
+    let ended = connection::run(stream, sender.clone(), RECEIVE_TIMEOUT, move |message| match message {
+        Message::Peer(from, message) => {
+            shared.step(|marker, now, out| marker.on_word(now, from, message, out))
         }
-        Message::ToGatekeeper(_) => back.close(),
+        Message::ToMarker(message) => {
+            shared.sessions.borrow_mut().entry(id).or_insert_with(|| reply_sender.clone());
+            shared.step(|marker, now, out| marker.on_up(now, id, message, out));
+        }
+        Message::ToGatekeeper(_) => reply_sender.close(),
     })
     .await;
-    if exchange.sessions.borrow_mut().remove(&id).is_some() {
+    if runtime.sessions.borrow_mut().remove(&id).is_some() {
         log::info!("session {id}: {ended}");
-        // Its kernel closes the connections of a process that is killed; a reset may come from the network.
+        // The kernel closes the connections of a killed process. A reset may come from the network instead.
         let ended = matches!(ended, connection::Disconnect::Closed);
-        exchange.step(|marker, now, out| marker.on_closed(now, id, ended, out));
+        runtime.step(|marker, now, out| marker.on_closed(now, id, ended, out));
     }
 }
 
 async fn answer(
-    exchange: Rc<Exchange>,
+    runtime: Rc<Runtime>,
     request: Request<Incoming>,
 ) -> Result<hyper::Response<http_body_util::Full<bytes::Bytes>>, Infallible> {
     let path = request.uri().path().to_owned();
     let reply = match calls::parse_request(request).await {
         Err(reply) => reply,
         Ok(call) => {
-            let asks = call == Call::Status;
+            let is_status = call == Call::Status;
             let (send, answer) = oneshot::channel();
-            let id = exchange.number();
-            exchange.calls.borrow_mut().insert(id, send);
-            exchange.step(|marker, now, out| marker.on_call(now, id, call, out));
+            let id = runtime.new_id();
+            runtime.calls.borrow_mut().insert(id, send);
+            runtime.step(|marker, now, out| marker.on_call(now, id, call, out));
             let reply = answer.await;
             let reply = reply.unwrap_or_else(|_| {
                 Reply::failure(granitelead_common::error_kinds::ErrorKind::Internal, "no answer")
             });
-            if asks {
-                with_counts(reply, &exchange.said)
+            if is_status {
+                with_counts(reply, &runtime.sent)
             } else {
                 reply
             }
         }
     };
-    Ok(calls::encode_reply(reply, &path, exchange.control, exchange.leaving.get()))
+    Ok(calls::encode_reply(reply, &path, runtime.control, runtime.is_shutting_down.get()))
 }
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, Failure> {
@@ -278,17 +288,17 @@
     }
 }
 
-async fn take_control(exchange: Rc<Exchange>, listener: TcpListener) {
+async fn serve_control(runtime: Rc<Runtime>, listener: TcpListener) {
     loop {
         let stream = accept(&listener).await;
-        if exchange.connections.get() >= CONNECTIONS_MAX {
+        if runtime.connections.get() >= CONNECTIONS_MAX {
             continue;
         }
-        exchange.connections.set(exchange.connections.get() + 1);
-        let exchange = exchange.clone();
+        runtime.connections.set(runtime.connections.get() + 1);
+        let runtime = runtime.clone();
         spawn_local(async move {
-            let taken = exchange.clone();
-            let service = service_fn(move |request| answer(taken.clone(), request));
+            let shared = runtime.clone();
+            let service = service_fn(move |request| answer(shared.clone(), request));
             let served = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(Duration::from_secs(15))
@@ -298,99 +308,106 @@
             if let Err(e) = served {
                 log::info!("control: {e}");
             }
-            exchange.connections.set(exchange.connections.get() - 1);
+            runtime.connections.set(runtime.connections.get() - 1);
         });
     }
 }
 
-/// Opens the folder; while the disk refuses it is tried again.
+/// Opens the store, with retries while the disk returns errors that may pass.
 async fn open(settings: &Settings) -> Result<Found, Failure> {
-    let Some(folder) = &settings.data_directory else {
-        let store = Store::in_memory().context(FolderSnafu)?;
-        return Ok(Found { store, kept: None, servers: Vec::new(), gatekeepers: Vec::new(), forgot: false });
+    let Some(directory) = &settings.data_directory else {
+        let store = Store::in_memory().context(DataDirectorySnafu)?;
+        return Ok(Found {
+            store,
+            state: None,
+            servers: Vec::new(),
+            gatekeepers: Vec::new(),
+            was_damaged: false,
+        });
     };
     let mut backoff = Backoff::new(fastrand::u64(..));
     loop {
-        match Store::find(std::path::Path::new(folder)) {
+        match Store::find(std::path::Path::new(directory)) {
             Err(fault) if fault.may_pass() => {
-                log::error!("not opened: {fault}");
+                log::error!("can't open the store, retrying: {fault}");
                 backoff.wait().await;
             }
-            found => return found.context(FolderSnafu),
+            found => return found.context(DataDirectorySnafu),
         }
     }
 }
 
-/// Runs a marker until it is told to end.
+/// Runs a marker until SIGTERM.
 ///
 /// # Errors
 ///
-/// Why it can't go on.
+/// An address can't be bound, the data directory can't be used, or a signal handler can't be installed.
 pub async fn serve(settings: Settings, control: SocketAddrV4) -> Result<(), Failure> {
-    let seeds = ips(&settings);
-    let Found { mut store, kept, servers, gatekeepers, forgot } = open(&settings).await?;
-    let first_start = settings.first_start && !forgot;
-    let keeping = match kept {
-        Some(kept) if kept.node.ip == settings.ip => kept,
+    let seeds = seed_ips(&settings);
+    let Found { mut store, state, servers, gatekeepers, was_damaged } = open(&settings).await?;
+    let first_start = settings.first_start && !was_damaged;
+    let state = match state {
+        Some(state) if state.node.ip == settings.ip => state,
         _ => {
             let initial = core::initial_state(settings.ip, &seeds, first_start, fastrand::u64(..));
-            store.write(&initial).context(FolderSnafu)?;
+            store.write(&initial).context(DataDirectorySnafu)?;
             initial
         }
     };
-    let (writes, to_write) = mpsc::channel();
+    let (writes, jobs) = mpsc::channel();
     let (written, mut is_written) = tokio::sync::mpsc::unbounded_channel();
     std::thread::spawn(move || {
-        store::run(store, &to_write, |ticket| {
-            // The process may be ending.
+        store::run(store, &jobs, |ticket| {
+            // The receiver is gone when the process is exiting.
             let _ = written.send(ticket);
         })
     });
 
-    let inner = listen(SocketAddr::from((settings.ip, settings.internal_port))).await?;
-    let outer = listen(control.into()).await?;
-    let core = Core::new(keeping, &seeds, settings.machine_losses, fastrand::u64(..), 0)
+    let internal_listener = listen(SocketAddr::from((settings.ip, settings.internal_port))).await?;
+    let control_listener = listen(control.into()).await?;
+    let core = Core::new(state, &seeds, settings.machine_losses, fastrand::u64(..), 0)
         .with_placement(&settings.zone, settings.data_directory.is_some());
-    let beat = settings.heartbeat_interval.as_millis() as Millis;
+    let heartbeat_interval = settings.heartbeat_interval.as_millis() as Millis;
     let window = settings.bounds.quota_window.as_millis() as Millis;
-    let marker = Marker::new(core, settings.zone.clone(), beat, servers).remembering(gatekeepers, window);
-    let exchange = Rc::new(Exchange {
+    let marker = Marker::new(core, settings.zone.clone(), heartbeat_interval, servers)
+        .remembering(gatekeepers, window);
+    let runtime = Rc::new(Runtime {
         marker: RefCell::new(marker),
-        begun: Instant::now(),
+        started_at: Instant::now(),
         control,
         internal_port: settings.internal_port,
         writes,
-        lines: RefCell::default(),
+        connections_to_markers: RefCell::default(),
         sessions: RefCell::default(),
         calls: RefCell::default(),
-        next: Cell::new(0),
+        next_id: Cell::new(0),
         connections: Cell::new(0),
-        leaving: Cell::new(false),
+        is_shutting_down: Cell::new(false),
         unsent_max: settings.memory_mb as usize * (1 << 20) / 4,
-        said: Said::default(),
+        sent: SentCounts::default(),
     });
-    let taken = exchange.clone();
+    let shared = runtime.clone();
     spawn_local(async move {
         loop {
-            let stream = accept(&inner).await;
-            spawn_local(take_in(taken.clone(), stream));
+            let stream = accept(&internal_listener).await;
+            spawn_local(receive_messages(shared.clone(), stream));
         }
     });
-    spawn_local(take_control(exchange.clone(), outer));
-    let taken = exchange.clone();
+    spawn_local(serve_control(runtime.clone(), control_listener));
+    let shared = runtime.clone();
     spawn_local(async move {
         while let Some(ticket) = is_written.recv().await {
-            taken.step(|marker, now, out| marker.on_written(now, ticket, out));
+            shared.step(|marker, now, out| marker.on_written(now, ticket, out));
         }
     });
-    let taken = exchange.clone();
+    let shared = runtime.clone();
     spawn_local(async move {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            taken.step(|marker, now, out| marker.on_tick(now, out));
-            taken.bound_unsent();
+            shared.step(|marker, now, out| marker.on_tick(now, out));
+            shared.limit_unsent();
         }
     });
     let (mut term, mut hup) = (
@@ -401,36 +418,39 @@
         tokio::select! {
             _ = term.recv() => break,
             _ = hup.recv() => {}
-            () = tokio::time::sleep(SETTINGS) => {}
+            () = tokio::time::sleep(SETTINGS_INTERVAL) => {}
         }
         match settings::load() {
-            Ok(settings) => exchange.marker.borrow_mut().reseed(&ips(&settings)),
-            Err(faults) => log::warn!("settings, which stay as they were: {faults}"),
+            Ok(settings) => runtime.marker.borrow_mut().reseed(&seed_ips(&settings)),
+            Err(faults) => log::warn!("invalid settings, the earlier ones stay in use: {faults}"),
         }
     }
-    end_in_order(&exchange, settings.bounds.grace).await;
+    shut_down(&runtime, settings.bounds.grace).await;
     Ok(())
 }
 
-/// Hands over, and goes on until what this marker holds is held elsewhere and all calls that have come are answered, or
-/// the grace period is nearly over.
-async fn end_in_order(exchange: &Rc<Exchange>, grace: Duration) {
-    let begun = Instant::now();
-    let last = grace.saturating_sub(LEAVE_BEFORE).max(LEAVE);
-    exchange.leaving.set(true);
-    exchange.step(|marker, now, out| marker.on_leave(now, out));
-    tokio::time::sleep(LEAVE).await;
-    let may_end = || exchange.marker.borrow().may_end() && exchange.calls.borrow().is_empty();
-    while !may_end() && begun.elapsed() < last {
-        tokio::time::sleep(TICK).await;
+/// Hands over the duties, and waits until all that this marker stores is replicated elsewhere and all calls
+/// are answered, or the grace period is nearly over.
+async fn shut_down(runtime: &Rc<Runtime>, grace: Duration) {
+    let started_at = Instant::now();
+    let longest = grace.saturating_sub(SHUTDOWN_MARGIN).max(SHUTDOWN_MIN);
+    runtime.is_shutting_down.set(true);
+    runtime.step(|marker, now, out| marker.on_leave(now, out));
+    tokio::time::sleep(SHUTDOWN_MIN).await;
+    let may_end = || runtime.marker.borrow().may_end() && runtime.calls.borrow().is_empty();
+    while !may_end() && started_at.elapsed() < longest {
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
-    // For answers that have just been given to be written.
-    tokio::time::sleep(TICK).await;
-    if let Some(version) = exchange.marker.borrow().held_alone() {
-        log::error!("ends with version {version:08x} in its folder, which nobody who stays is known to hold");
+    // Lets the last responses be written.
+    tokio::time::sleep(TICK_INTERVAL).await;
+    if let Some(version) = runtime.marker.borrow().held_alone() {
+        log::error!(
+            "exits with version {version:08x} in its data directory, \
+             which no remaining marker is known to store"
+        );
     }
 }
 
-fn ips(settings: &Settings) -> Vec<Ipv4Addr> {
+fn seed_ips(settings: &Settings) -> Vec<Ipv4Addr> {
     settings.seeds.iter().map(|seed| *seed.ip()).collect()
 }
--- a/crates/marker/src/store.rs
+++ b/crates/marker/src/store.rs
@@ -1,11 +1,12 @@
-//! What a marker keeps on disk: one writer, in a thread of its own, so that a slow disk holds up nothing else.
+//! The persistent storage of a marker, an SQLite database written by a thread of its own, so that a slow disk
+//! blocks nothing else.
 //!
-//! Each write is a whole [`PersistentState`]; of those that wait only the newest is written, and all of them
-//! are then said to be there. Of the ledger only what has changed is written, a row a number. A write that
-//! fails is tried again: what can't be kept is never answered for.
+//! Each write holds a full [`PersistentState`]. Of the pending writes only the newest is made, and its ticket
+//! acknowledges the earlier ones too. Of the ledger only changed entries are written, one row for each
+//! version. A write that fails is retried: state that is not on disk is never acknowledged.
 //!
-//! A folder of the first form, which kept no ledger, is carried over as it is opened: the configuration that it holds
-//! is the one content known, and of the numbers below that nothing is.
+//! A database of format 1, which had no ledger, is migrated when it is opened: the ledger then holds the
+//! stored configuration only, and all lower versions count as forgotten.
 
 use crate::types::PersistentState;
 use granitelead_control_protocol::messages::{Digest, Document, Epoch, Instance, Ledger};
@@ -18,62 +19,63 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The form of the folder. Another form is not read.
-const FORM: i64 = 2;
-/// The form before, which is carried over.
-const FORM_BEFORE: i64 = 1;
-/// What both forms are made with.
-const NUMBERS: &str = "CREATE TABLE numbers (version INTEGER PRIMARY KEY, digest BLOB NOT NULL)";
-/// The file in the folder.
+/// The format of the database, stored as its `user_version`. Unknown formats are refused.
+const FORMAT: i64 = 2;
+/// The previous format, which is migrated.
+const PREVIOUS_FORMAT: i64 = 1;
+/// Creates the table of the ledger, for new and for migrated databases.
+const CREATE_NUMBERS: &str = "CREATE TABLE numbers (version INTEGER PRIMARY KEY, digest BLOB NOT NULL)";
+/// The database file in the data directory.
 const FILE: &str = "marker.sqlite";
-/// What a file that can't be used is renamed to; the one before it is lost.
-const BROKEN: &str = "marker.sqlite.broken";
-/// Pause after a write that failed.
-const AGAIN: Duration = Duration::from_millis(100);
+/// The name that a damaged file is renamed to. An older file of that name is overwritten.
+const BROKEN_FILE: &str = "marker.sqlite.broken";
+/// Delay before a failed write is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Why the folder can't be used.
+/// Why the data directory can't be used.
 #[derive(Debug, Snafu)]
 pub enum Fault {
-    /// SQLite says no.
+    /// SQLite returned an error.
     #[snafu(display("{file}: {source}"))]
     Disk {
-        /// Which file.
+        /// The path of the file.
         file: String,
-        /// Why.
+        /// The cause.
         source: rusqlite::Error,
     },
-    /// It was written by another form of the program.
+    /// The database has a format that this version does not support.
     #[snafu(display(
-        "{file}: its form is {form}, this program writes form {FORM}; move the folder away to begin anew"
+        "{file}: format {format} is not supported, expected format {FORMAT}; \
+         move the folder away to start with an empty one"
     ))]
-    Form {
-        /// Which file.
+    Format {
+        /// The path of the file.
         file: String,
-        /// Its form.
-        form: i64,
+        /// The format of the file.
+        format: i64,
     },
-    /// It is damaged, and can't be set aside.
-    #[snafu(display("{file}: damaged, and can't be renamed: {source}"))]
-    Aside {
-        /// Which file.
+    /// The file is damaged and can't be renamed.
+    #[snafu(display("{file}: damaged and can't be renamed: {source}"))]
+    Rename {
+        /// The path of the file.
         file: String,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// It holds what this program does not write.
-    #[snafu(display("{file}: {name} can't be read: {text}"))]
+    /// A stored value can't be decoded.
+    #[snafu(display("{file}: can't decode {name}: {text}"))]
     Content {
-        /// Which file.
+        /// The path of the file.
         file: String,
-        /// Which value.
+        /// The name of the value.
         name: String,
-        /// Why.
+        /// The cause.
         text: String,
     },
 }
 
 impl Fault {
-    /// Whether the file is damaged, so that trying again can't help.
+    /// Whether the file is damaged, so that a retry can't succeed.
     fn is_damage(&self) -> bool {
         match self {
             Fault::Disk { source: rusqlite::Error::SqliteFailure(e, _), .. } => {
@@ -84,137 +86,141 @@
         }
     }
 
-    /// Whether trying again may help: the disk refuses, or is full.
+    /// Whether a retry may succeed, as after an I/O error or on a full disk.
     pub fn may_pass(&self) -> bool {
         matches!(self, Fault::Disk { .. }) && !self.is_damage()
     }
 }
 
-/// What a folder held when it was opened.
+/// The contents of a data directory when it was opened.
 pub struct Found {
-    /// The folder, open.
+    /// The open store.
     pub store: Store,
-    /// What was kept, unless it is empty.
-    pub kept: Option<PersistentState>,
-    /// The servers that were known last.
+    /// The stored state, unless the store is empty.
+    pub state: Option<PersistentState>,
+    /// The servers that were stored last.
     pub servers: Vec<Instance>,
-    /// The gatekeepers that were known last, by name.
+    /// The names of the gatekeepers that were stored last.
     pub gatekeepers: Vec<String>,
-    /// Whether there was a file that can't be used: what this marker promised is forgotten.
-    pub forgot: bool,
+    /// Whether a damaged file was replaced, so that the promises of this marker are lost.
+    pub was_damaged: bool,
 }
 
-/// The folder of a marker.
+/// The database of a marker.
 pub struct Store {
     disk: Connection,
     file: String,
-    /// The document that is there.
+    /// The document that is on disk.
     document: Option<Arc<Document>>,
-    /// The ledger that is there.
+    /// The ledger that is on disk.
     ledger: Arc<Ledger>,
 }
 
 impl Store {
-    /// Opens the folder, which may be empty.
+    /// Opens the store in a data directory, which may be empty.
     ///
     /// # Errors
     ///
-    /// Why it can't be used.
-    pub fn open(folder: &Path) -> Result<Store, Fault> {
-        let path = folder.join(FILE);
+    /// The database can't be opened or has an unsupported format.
+    pub fn open(directory: &Path) -> Result<Store, Fault> {
+        let path = directory.join(FILE);
         let file = path.display().to_string();
         let disk = Connection::open(&path).context(DiskSnafu { file: &file })?;
-        Store::of(disk, file)
+        Store::from_connection(disk, file)
     }
 
-    /// Opens a folder and reads it. A damaged file is set aside: the marker then is an empty one.
+    /// Opens the store in a data directory and reads it. A damaged file is renamed, and the marker starts
+    /// with an empty store.
     ///
     /// # Errors
     ///
-    /// Why it can't be used; see [`Fault::may_pass`].
-    pub fn find(folder: &Path) -> Result<Found, Fault> {
-        let found = |forgot| {
-            let mut store = Store::open(folder)?;
-            let (kept, servers, gatekeepers) = (store.read()?, store.servers()?, store.gatekeepers()?);
-            Ok(Found { store, kept, servers, gatekeepers, forgot })
+    /// The store can't be opened or read; see [`Fault::may_pass`].
+    pub fn find(directory: &Path) -> Result<Found, Fault> {
+        let found = |was_damaged| {
+            let mut store = Store::open(directory)?;
+            let (state, servers, gatekeepers) = (store.read()?, store.servers()?, store.gatekeepers()?);
+            Ok(Found { store, state, servers, gatekeepers, was_damaged })
         };
         match found(false) {
             Err(fault) if Fault::is_damage(&fault) => {
-                log::error!("{fault}; the file is set aside as {BROKEN}, this marker begins as an empty one");
-                let (file, aside) = (folder.join(FILE), folder.join(BROKEN));
-                let moved = std::fs::rename(&file, aside).and_then(|()| {
+                log::error!(
+                    "{fault}; the file is renamed to {BROKEN_FILE}, this marker starts with an empty store"
+                );
+                let (file, renamed) = (directory.join(FILE), directory.join(BROKEN_FILE));
+                let moved = std::fs::rename(&file, renamed).and_then(|()| {
                     for log in ["marker.sqlite-wal", "marker.sqlite-shm", "marker.sqlite-journal"] {
-                        match std::fs::remove_file(folder.join(log)) {
+                        match std::fs::remove_file(directory.join(log)) {
                             Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(e),
                             _ => {}
                         }
                     }
-                    std::fs::File::open(folder)?.sync_all()
+                    std::fs::File::open(directory)?.sync_all()
                 });
-                moved.context(AsideSnafu { file: file.display().to_string() })?;
+                moved.context(RenameSnafu { file: file.display().to_string() })?;
                 found(true)
             }
             other => other,
         }
     }
 
-    /// A store in memory, for markers without a folder.
+    /// Opens a store in memory, for markers without a data directory.
     ///
     /// # Errors
     ///
-    /// As [`Store::open`].
+    /// See [`Store::open`].
     pub fn in_memory() -> Result<Store, Fault> {
         let file = "memory".to_owned();
         let disk = Connection::open_in_memory().context(DiskSnafu { file: &file })?;
-        Store::of(disk, file)
+        Store::from_connection(disk, file)
     }
 
-    fn of(disk: Connection, file: String) -> Result<Store, Fault> {
-        let begin = || -> rusqlite::Result<i64> {
-            // One process has the folder, and its memory is little.
+    fn from_connection(disk: Connection, file: String) -> Result<Store, Fault> {
+        let initialize = || -> rusqlite::Result<i64> {
+            // One process uses the database. The cache is small (256 KiB) as the memory of a marker is
+            // limited.
             disk.pragma_update(None, "locking_mode", "EXCLUSIVE")?;
             disk.pragma_update(None, "journal_mode", "WAL")?;
             disk.pragma_update(None, "synchronous", "FULL")?;
             disk.pragma_update(None, "cache_size", -256)?;
             disk.pragma_update(None, "wal_autocheckpoint", 64)?;
-            let form: i64 = disk.pragma_query_value(None, "user_version", |row| row.get(0))?;
+            let format: i64 = disk.pragma_query_value(None, "user_version", |row| row.get(0))?;
             let empty: bool =
                 disk.query_row("SELECT count(*) = 0 FROM sqlite_master", [], |row| row.get(0))?;
-            if form == 0 && empty {
+            if format == 0 && empty {
                 disk.execute_batch(&format!(
                     "BEGIN; CREATE TABLE kept (name TEXT PRIMARY KEY, value BLOB NOT NULL) WITHOUT ROWID;
-                     {NUMBERS}; PRAGMA user_version = {FORM}; COMMIT;"
+                     {CREATE_NUMBERS}; PRAGMA user_version = {FORMAT}; COMMIT;"
                 ))?;
-                return Ok(FORM);
+                return Ok(FORMAT);
             }
-            Ok(form)
+            Ok(format)
         };
-        let form = begin().context(DiskSnafu { file: &file })?;
+        let format = initialize().context(DiskSnafu { file: &file })?;
         let mut store = Store { disk, file, document: None, ledger: Arc::default() };
-        match form {
-            FORM => {}
-            FORM_BEFORE => store.carry_over()?,
-            form => return FormSnafu { file: store.file, form }.fail(),
+        match format {
+            FORMAT => {}
+            PREVIOUS_FORMAT => store.migrate()?,
+            format => return FormatSnafu { file: store.file, format }.fail(),
         }
         Ok(store)
     }
 
-    /// Makes this form of the one before.
-    fn carry_over(&mut self) -> Result<(), Fault> {
+    /// Migrates the previous format to this one.
+    fn migrate(&mut self) -> Result<(), Fault> {
         let document = self.get::<Option<Document>>("document")?.flatten();
         let ledger = document.map_or_else(Ledger::default, |d| {
             let entries = [(d.version, Digest::of(&d.bytes))].into();
             Ledger::new(d.version.checked_sub(1), entries)
         });
-        let mut carry = || -> rusqlite::Result<()> {
-            let change = self.disk.transaction()?;
-            change.execute(NUMBERS, [])?;
-            put_ledger(&change, &Ledger::default(), &ledger)?;
-            change.pragma_update(None, "user_version", FORM)?;
-            change.commit()
+        let mut write_migrated = || -> rusqlite::Result<()> {
+            let transaction = self.disk.transaction()?;
+            transaction.execute(CREATE_NUMBERS, [])?;
+            write_ledger(&transaction, &Ledger::default(), &ledger)?;
+            transaction.pragma_update(None, "user_version", FORMAT)?;
+            transaction.commit()
         };
-        carry().context(DiskSnafu { file: &self.file })?;
-        log::info!("{}: carried over from form {FORM_BEFORE}", self.file);
+        write_migrated().context(DiskSnafu { file: &self.file })?;
+        log::info!("{}: migrated from format {PREVIOUS_FORMAT}", self.file);
         Ok(())
     }
 
@@ -229,19 +235,19 @@
         })
     }
 
-    /// What was kept, unless the folder is empty.
+    /// Reads the stored state, unless the store is empty.
     ///
     /// # Errors
     ///
-    /// Why it can't be read.
+    /// The state can't be read or decoded.
     pub fn read(&mut self) -> Result<Option<PersistentState>, Fault> {
         let (Some(node), Some(promised)) = (self.get("node")?, self.get("promised")?) else {
             return Ok(None);
         };
-        // What there may be none of is kept as such.
+        // Optional values are stored as `Option`, so they are unwrapped twice.
         let epoch = self.get::<Option<Epoch>>("epoch")?.flatten();
         let sure = self.get::<Option<u32>>("sure")?.flatten();
-        // Not kept by the first programs of this form.
+        // The first programs of this format did not store these values.
         let copied = self.get("copied")?.unwrap_or_default();
         let duty_promises = self.get("ballots")?.unwrap_or_default();
         let document = self.get::<Option<Document>>("document")?.flatten();
@@ -271,38 +277,38 @@
         Ok(Ledger::new(forgotten, entries))
     }
 
-    /// The servers that were known last.
+    /// Reads the servers that were stored last.
     ///
     /// # Errors
     ///
-    /// Why they can't be read.
+    /// The value can't be read or decoded.
     pub fn servers(&self) -> Result<Vec<Instance>, Fault> {
         Ok(self.get("servers")?.unwrap_or_default())
     }
 
-    /// Keeps the servers.
+    /// Stores the servers.
     ///
     /// # Errors
     ///
-    /// Why they are not kept.
+    /// The write failed.
     pub fn write_servers(&self, servers: &[Instance]) -> Result<(), Fault> {
         self.write_part("servers", bytes(&servers))
     }
 
-    /// The gatekeepers that were known last, by name.
+    /// Reads the names of the gatekeepers that were stored last.
     ///
     /// # Errors
     ///
-    /// Why they can't be read.
+    /// The value can't be read or decoded.
     pub fn gatekeepers(&self) -> Result<Vec<String>, Fault> {
         Ok(self.get("gatekeepers")?.unwrap_or_default())
     }
 
-    /// Keeps the names of the gatekeepers.
+    /// Stores the names of the gatekeepers.
     ///
     /// # Errors
     ///
-    /// Why they are not kept.
+    /// The write failed.
     pub fn write_gatekeepers(&self, names: &[String]) -> Result<(), Fault> {
         self.write_part("gatekeepers", bytes(&names))
     }
@@ -313,58 +319,58 @@
         Ok(())
     }
 
-    /// Keeps this, synced.
+    /// Writes the state and syncs it to disk.
     ///
     /// # Errors
     ///
-    /// Why it is not kept.
-    pub fn write(&mut self, keeping: &PersistentState) -> Result<(), Fault> {
-        self.put(keeping).context(DiskSnafu { file: &self.file })?;
-        self.document.clone_from(&keeping.document);
-        self.ledger.clone_from(&keeping.ledger);
+    /// The write failed; the earlier state is still stored.
+    pub fn write(&mut self, state: &PersistentState) -> Result<(), Fault> {
+        self.write_state(state).context(DiskSnafu { file: &self.file })?;
+        self.document.clone_from(&state.document);
+        self.ledger.clone_from(&state.ledger);
         Ok(())
     }
 
-    fn put(&mut self, keeping: &PersistentState) -> rusqlite::Result<()> {
-        let same = match (&self.document, &keeping.document) {
+    fn write_state(&mut self, state: &PersistentState) -> rusqlite::Result<()> {
+        let is_unchanged = match (&self.document, &state.document) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
             (None, None) => true,
             _ => false,
         };
-        let change = self.disk.transaction()?;
+        let transaction = self.disk.transaction()?;
         {
             let mut put =
-                change.prepare_cached("INSERT OR REPLACE INTO kept (name, value) VALUES (?1, ?2)")?;
-            put.execute(params!["node", bytes(&keeping.node)])?;
-            put.execute(params!["promised", bytes(&keeping.promised)])?;
-            put.execute(params!["copied", bytes(&keeping.copied)])?;
-            put.execute(params!["ballots", bytes(&keeping.duty_promises)])?;
-            put.execute(params!["epoch", bytes(&keeping.epoch)])?;
-            put.execute(params!["sure", bytes(&keeping.sure)])?;
-            if !same {
-                put.execute(params!["document", bytes(&keeping.document.as_deref())])?;
+                transaction.prepare_cached("INSERT OR REPLACE INTO kept (name, value) VALUES (?1, ?2)")?;
+            put.execute(params!["node", bytes(&state.node)])?;
+            put.execute(params!["promised", bytes(&state.promised)])?;
+            put.execute(params!["copied", bytes(&state.copied)])?;
+            put.execute(params!["ballots", bytes(&state.duty_promises)])?;
+            put.execute(params!["epoch", bytes(&state.epoch)])?;
+            put.execute(params!["sure", bytes(&state.sure)])?;
+            if !is_unchanged {
+                put.execute(params!["document", bytes(&state.document.as_deref())])?;
             }
         }
-        if !Arc::ptr_eq(&self.ledger, &keeping.ledger) {
-            put_ledger(&change, &self.ledger, &keeping.ledger)?;
+        if !Arc::ptr_eq(&self.ledger, &state.ledger) {
+            write_ledger(&transaction, &self.ledger, &state.ledger)?;
         }
-        change.commit()
+        transaction.commit()
     }
 }
 
-/// Writes what differs between two ledgers, of which the first is there.
-fn put_ledger(disk: &Connection, there: &Ledger, ledger: &Ledger) -> rusqlite::Result<()> {
+/// Writes the differences between two ledgers, of which the first is on disk.
+fn write_ledger(disk: &Connection, stored: &Ledger, ledger: &Ledger) -> rusqlite::Result<()> {
     let mut put = disk.prepare_cached("INSERT OR REPLACE INTO numbers (version, digest) VALUES (?1, ?2)")?;
     for (version, digest) in ledger.entries() {
-        if there.entries().get(version) != Some(digest) {
+        if stored.entries().get(version) != Some(digest) {
             put.execute(params![version, digest.0])?;
         }
     }
     let mut remove = disk.prepare_cached("DELETE FROM numbers WHERE version = ?1")?;
-    for version in there.entries().keys().filter(|version| !ledger.entries().contains_key(version)) {
+    for version in stored.entries().keys().filter(|version| !ledger.entries().contains_key(version)) {
         remove.execute(params![version])?;
     }
-    if there.forgotten() != ledger.forgotten() {
+    if stored.forgotten() != ledger.forgotten() {
         let mut put =
             disk.prepare_cached("INSERT OR REPLACE INTO kept (name, value) VALUES ('forgotten', ?1)")?;
         put.execute(params![bytes(&ledger.forgotten())])?;
@@ -374,26 +380,26 @@
 
 fn bytes(value: &impl Serialize) -> Vec<u8> {
     let mut bytes = Vec::new();
-    // Writing to memory does not fail.
+    // Writing to memory can't fail.
     let _ = ciborium::into_writer(value, &mut bytes);
     bytes
 }
 
-/// What is to be written.
+/// A write for the thread that owns the store.
 #[derive(Debug)]
 pub enum Job {
-    /// What has to last, under a ticket.
-    Keep(u64, PersistentState),
-    /// The servers, which may be lost.
+    /// The state of the marker; its ticket is reported once it is on disk.
+    State(u64, PersistentState),
+    /// The servers; a failed write is not retried.
     Servers(Vec<Instance>),
-    /// The names of the gatekeepers, which may be lost.
+    /// The names of the gatekeepers; a failed write is not retried.
     Gatekeepers(Vec<String>),
 }
 
-/// What waits to be written: of each kind the newest alone.
+/// The newest pending write of each kind.
 #[derive(Default)]
 struct Pending {
-    keep: Option<(u64, PersistentState)>,
+    state: Option<(u64, PersistentState)>,
     servers: Option<Vec<Instance>>,
     gatekeepers: Option<Vec<String>>,
 }
@@ -401,41 +407,41 @@
 impl Pending {
     fn take(&mut self, job: Job) {
         match job {
-            Job::Keep(ticket, keeping) => self.keep = Some((ticket, keeping)),
+            Job::State(ticket, state) => self.state = Some((ticket, state)),
             Job::Servers(known) => self.servers = Some(known),
             Job::Gatekeepers(names) => self.gatekeepers = Some(names),
         }
     }
 }
 
-/// Writes what comes until nobody sends any more; tells the ticket of each write once it is there.
+/// Performs writes until all senders are dropped, and reports the ticket of each state that is on disk.
 pub fn run(mut store: Store, jobs: &mpsc::Receiver<Job>, mut written: impl FnMut(u64)) {
     let (mut pending, mut failing) = (Pending::default(), false);
     while let Ok(job) = jobs.recv() {
         for job in std::iter::once(job).chain(jobs.try_iter()) {
             pending.take(job);
         }
-        while let Some((ticket, keeping)) = pending.keep.take() {
-            match store.write(&keeping) {
+        while let Some((ticket, state)) = pending.state.take() {
+            match store.write(&state) {
                 Ok(()) => {
                     failing = false;
                     written(ticket);
                 }
                 Err(fault) => {
                     if !std::mem::replace(&mut failing, true) {
-                        log::error!("not kept, tried again until it is: {fault}");
+                        log::error!("write failed, retrying until it succeeds: {fault}");
                     }
-                    std::thread::sleep(AGAIN);
-                    pending.keep = Some((ticket, keeping));
+                    std::thread::sleep(RETRY_DELAY);
+                    pending.state = Some((ticket, state));
                     jobs.try_iter().for_each(|job| pending.take(job));
                 }
             }
         }
         if let Some(Err(fault)) = pending.servers.take().map(|known| store.write_servers(&known)) {
-            log::warn!("servers not kept: {fault}");
+            log::warn!("servers not stored: {fault}");
         }
         if let Some(Err(fault)) = pending.gatekeepers.take().map(|names| store.write_gatekeepers(&names)) {
-            log::warn!("gatekeepers not kept: {fault}");
+            log::warn!("gatekeepers not stored: {fault}");
         }
     }
 }
@@ -446,31 +452,31 @@
     use crate::core;
     use googletest::prelude::*;
 
-    fn keeping(version: u32) -> PersistentState {
+    fn state(version: u32) -> PersistentState {
         let ip = [10, 1, 0, 2].into();
         let document = Some(Arc::new(Document { version, bytes: vec![7; 100_000] }));
         PersistentState { document, ..core::initial_state(ip, &[ip], true, 5) }
     }
 
     #[gtest]
-    fn what_is_written_is_read_back_and_an_empty_folder_is_told_from_it() {
+    fn written_state_is_read_back_and_an_empty_store_reads_as_none() {
         let mut store = Store::in_memory().unwrap();
         expect_that!(store.read().unwrap(), none());
         let outside = core::initial_state([10, 1, 0, 2].into(), &[], false, 5);
-        for kept in [keeping(1), PersistentState { sure: Some(2), ..keeping(2) }, outside] {
-            store.write(&kept).unwrap();
-            expect_that!(store.read().unwrap(), some(eq(&kept)));
+        for state in [state(1), PersistentState { sure: Some(2), ..state(2) }, outside] {
+            store.write(&state).unwrap();
+            expect_that!(store.read().unwrap(), some(eq(&state)));
         }
     }
 
-    /// A folder of a test, gone with it.
-    struct Folder(std::path::PathBuf);
+    /// A data directory that is removed at the end of a test.
+    struct TestDirectory(std::path::PathBuf);
 
-    impl Folder {
-        fn new(name: &str) -> Folder {
+    impl TestDirectory {
+        fn new(name: &str) -> TestDirectory {
             let path = std::env::temp_dir().join(format!("marker-{name}-{}", std::process::id()));
             std::fs::create_dir_all(&path).unwrap();
-            Folder(path)
+            TestDirectory(path)
         }
 
         fn file(&self, name: &str) -> std::path::PathBuf {
@@ -478,19 +484,19 @@
         }
     }
 
-    impl Drop for Folder {
+    impl Drop for TestDirectory {
         fn drop(&mut self) {
             let _ = std::fs::remove_dir_all(&self.0);
         }
     }
 
     #[gtest]
-    fn a_log_torn_anywhere_leaves_what_was_kept_before() {
-        let (written, torn) = (Folder::new("written"), Folder::new("torn"));
+    fn a_log_truncated_at_any_point_leaves_an_earlier_state() {
+        let (written, truncated) = (TestDirectory::new("written"), TestDirectory::new("torn"));
         let mut store = Store::open(&written.0).unwrap();
         let small = |version| {
             let document = Some(Arc::new(Document { version, bytes: vec![7; 6_000] }));
-            PersistentState { document, ..keeping(version) }
+            PersistentState { document, ..state(version) }
         };
         store.write(&small(1)).unwrap();
         store.write(&small(2)).unwrap();
@@ -498,13 +504,13 @@
         let whole = std::fs::read(written.file(log)).unwrap();
         let mut seen = std::collections::BTreeSet::new();
         for length in (0..=whole.len()).rev().step_by(257) {
-            std::fs::copy(written.file(base), torn.file(base)).unwrap();
-            std::fs::write(torn.file(log), &whole[..length]).unwrap();
-            let found = Store::find(&torn.0).unwrap();
-            expect_false!(found.forgot);
-            let version = found.kept.map(|kept| {
-                let document = kept.document.clone().unwrap();
-                assert_eq!(kept, small(document.version));
+            std::fs::copy(written.file(base), truncated.file(base)).unwrap();
+            std::fs::write(truncated.file(log), &whole[..length]).unwrap();
+            let found = Store::find(&truncated.0).unwrap();
+            expect_false!(found.was_damaged);
+            let version = found.state.map(|state| {
+                let document = state.document.clone().unwrap();
+                assert_eq!(state, small(document.version));
                 document.version
             });
             seen.insert(version);
@@ -513,56 +519,56 @@
     }
 
     #[gtest]
-    fn a_damaged_file_is_set_aside_and_what_was_promised_counts_as_forgotten() {
-        let folder = Folder::new("damaged");
-        let mut store = Store::open(&folder.0).unwrap();
-        store.write(&keeping(1)).unwrap();
+    fn a_damaged_file_is_renamed_and_its_promises_count_as_lost() {
+        let directory = TestDirectory::new("damaged");
+        let mut store = Store::open(&directory.0).unwrap();
+        store.write(&state(1)).unwrap();
         drop(store);
-        let mut bytes = std::fs::read(folder.file(FILE)).unwrap();
+        let mut bytes = std::fs::read(directory.file(FILE)).unwrap();
         bytes[..200].fill(0x5a);
-        std::fs::write(folder.file(FILE), bytes).unwrap();
-        let mut found = Store::find(&folder.0).unwrap();
-        expect_true!(found.forgot && found.kept.is_none() && folder.file(BROKEN).exists());
-        found.store.write(&keeping(2)).unwrap();
+        std::fs::write(directory.file(FILE), bytes).unwrap();
+        let mut found = Store::find(&directory.0).unwrap();
+        expect_true!(found.was_damaged && found.state.is_none() && directory.file(BROKEN_FILE).exists());
+        found.store.write(&state(2)).unwrap();
         drop(found);
-        let again = Store::find(&folder.0).unwrap();
-        expect_that!(again.kept, some(eq(&keeping(2))));
-        expect_false!(again.forgot);
+        let again = Store::find(&directory.0).unwrap();
+        expect_that!(again.state, some(eq(&state(2))));
+        expect_false!(again.was_damaged);
     }
 
     #[gtest]
-    fn a_full_disk_keeps_nothing_and_answers_for_nothing_until_there_is_room() {
+    fn a_write_on_a_full_disk_fails_and_keeps_the_earlier_state_until_space_is_free() {
         let mut store = Store::in_memory().unwrap();
-        store.write(&keeping(1)).unwrap();
+        store.write(&state(1)).unwrap();
         let pages: i64 = store.disk.pragma_query_value(None, "page_count", |row| row.get(0)).unwrap();
         store.disk.pragma_update(None, "max_page_count", pages + 1).unwrap();
         let large = Some(Arc::new(Document { version: 2, bytes: vec![8; 400_000] }));
-        let larger = PersistentState { document: large, ..keeping(2) };
+        let larger = PersistentState { document: large, ..state(2) };
         let fault = store.write(&larger).unwrap_err();
         expect_true!(fault.may_pass());
-        expect_that!(store.read().unwrap(), some(eq(&keeping(1))));
+        expect_that!(store.read().unwrap(), some(eq(&state(1))));
         store.disk.pragma_update(None, "max_page_count", 10_000).unwrap();
         store.write(&larger).unwrap();
         expect_that!(store.read().unwrap(), some(eq(&larger)));
     }
 
     #[gtest]
-    fn another_form_is_refused_with_what_to_do() {
+    fn an_unsupported_format_is_refused_with_instructions() {
         let disk = Connection::open_in_memory().unwrap();
-        disk.pragma_update(None, "user_version", FORM + 1).unwrap();
-        let fault = Store::of(disk, "x".into()).err().unwrap();
+        disk.pragma_update(None, "user_version", FORMAT + 1).unwrap();
+        let fault = Store::from_connection(disk, "x".into()).err().unwrap();
         expect_that!(fault.to_string(), contains_substring("move the folder away"));
     }
 
     #[gtest]
-    fn of_writes_that_wait_the_newest_is_written_and_its_ticket_told() {
+    fn only_the_newest_pending_write_is_made_and_its_ticket_reported() {
         let (send, writes) = mpsc::channel();
         for ticket in 1..=5 {
-            send.send(Job::Keep(ticket, keeping(ticket as u32))).unwrap();
+            send.send(Job::State(ticket, state(ticket as u32))).unwrap();
         }
         drop(send);
-        let mut told = Vec::new();
-        run(Store::in_memory().unwrap(), &writes, |ticket| told.push(ticket));
-        expect_that!(told, eq(&vec![5]));
+        let mut reported = Vec::new();
+        run(Store::in_memory().unwrap(), &writes, |ticket| reported.push(ticket));
+        expect_that!(reported, eq(&vec![5]));
     }
 }
--- a/crates/marker/tests/history.rs
+++ b/crates/marker/tests/history.rs
@@ -328,8 +328,8 @@
 
 fn read_back(directory: &Path, keeping: &PersistentState) {
     let found = Store::find(directory).unwrap();
-    assert!(!found.forgot);
-    assert_eq!(found.kept.as_ref(), Some(keeping));
+    assert!(!found.was_damaged);
+    assert_eq!(found.state.as_ref(), Some(keeping));
 }
 
 /// Disks hold 64 MB.
