--- a/crates/marker/src/lib.rs
+++ b/crates/marker/src/lib.rs
@@ -1,8 +1,9 @@
 //! The control plane of the system.
 //!
-//! A marker takes the beats of servers and the calls of operators, keeps the configuration together with the other
-//! markers, and pushes both to the gatekeepers that hold sessions with it. [`state`] joins the parts, which are state
-//! machines without input or output of their own; [`run`] joins them to sockets, disk and signals.
+//! A marker receives the heartbeats of servers and the calls of operators, replicates the configuration with
+//! the other markers, and pushes servers and configuration to the gatekeepers that have sessions with it.
+//! [`state`] combines the parts, which are state machines without I/O; [`run`] connects them to sockets, disk
+//! and signals.
 
 pub mod agreement;
 pub mod calls;
@@ -26,14 +27,15 @@
 
 USAGE: marker [--help | --version]
 
-Reads the settings file that GRANITELEAD_NODE_FILE names (/etc/granitelead/node.toml without it). SIGHUP reads it
-again, SIGTERM hands over and ends. The log is a ring in memory, written to standard error when something goes wrong.
+Reads the settings file that GRANITELEAD_NODE_FILE names (/etc/granitelead/node.toml without it). SIGHUP reads
+it again, SIGTERM hands over and exits. The log is a ring buffer in memory, written to standard error after an
+error.
 
-EXIT STATUS: 0 after SIGTERM, 1 when it can't go on, 2 for settings or a command line that can't be used
+EXIT STATUS: 0 after SIGTERM, 1 after a fatal error, 2 for invalid settings or an invalid command line
 
 EXAMPLE: GRANITELEAD_NODE_FILE=/etc/granitelead/node.toml marker";
 
-/// Runs a marker; its exit status.
+/// Parses the command line and runs a marker. Returns the exit status.
 pub fn run() -> ExitCode {
     if let Some(status) = granitelead_common::command::parse_command_line("marker", HELP) {
         return status;
@@ -41,7 +43,7 @@
     start()
 }
 
-/// Runs a marker without looking at the command line; its exit status.
+/// Runs a marker without parsing the command line. Returns the exit status.
 pub fn start() -> ExitCode {
     let settings = match granitelead_common::command::initialize("marker") {
         Ok(settings) => settings,
@@ -54,6 +56,6 @@
     granitelead_base::run(
         "marker",
         || Ok::<_, std::convert::Infallible>(settings),
-        |s| run::serve(s, control),
+        |settings| run::serve(settings, control),
     )
 }
--- a/crates/marker/tests/store.rs
+++ b/crates/marker/tests/store.rs
@@ -1,4 +1,5 @@
-//! The folder of a marker: how it keeps which content each number stands for.
+//! Tests of the marker's store: how the ledger of configuration versions and their digests is written and
+//! migrated.
 
 use googletest::prelude::*;
 use granitelead_control_protocol::ledger::{VersionState, VERSIONS_MAX};
@@ -11,74 +12,75 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// A folder of a test, gone with it.
-struct Folder(PathBuf);
+/// A data directory that is removed at the end of a test.
+struct TestDirectory(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TestDirectory {
+    fn new(name: &str) -> TestDirectory {
         let path = std::env::temp_dir().join(format!("marker-store-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TestDirectory(path)
     }
 
-    fn disk(&self) -> Connection {
+    fn connection(&self) -> Connection {
         Connection::open(self.0.join("marker.sqlite")).unwrap()
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn keeping(version: u32, ledger: &Ledger) -> PersistentState {
+fn state(version: u32, ledger: &Ledger) -> PersistentState {
     let ip = [10, 1, 0, 2].into();
     let document = Some(Arc::new(Document { version, bytes: vec![7; 100] }));
     PersistentState { document, ledger: Arc::new(ledger.clone()), ..initial_state(ip, &[ip], true, 5) }
 }
 
 #[gtest]
-fn the_ledger_is_read_back_and_of_a_change_only_what_changed_is_written() {
-    let folder = Folder::new("ledger");
-    let mut store = Store::open(&folder.0).unwrap();
+fn the_ledger_is_read_back_and_only_changed_entries_are_written() {
+    let directory = TestDirectory::new("ledger");
+    let mut store = Store::open(&directory.0).unwrap();
     let mut ledger = Ledger::default();
     for version in 1..=VERSIONS_MAX as u32 + 3 {
         ledger.record(version, Digest::from(u128::MAX - u128::from(version)));
     }
-    store.write(&keeping(9_000, &ledger)).unwrap();
+    store.write(&state(9_000, &ledger)).unwrap();
     drop(store);
-    // A row is written again only where it differs.
-    folder.disk().execute("CREATE TRIGGER t AFTER INSERT ON numbers BEGIN SELECT RAISE(ABORT, 'again') WHERE NEW.version < 5000; END", []).unwrap();
-    let mut store = Store::open(&folder.0).unwrap();
-    expect_that!(store.read().unwrap(), some(eq(&keeping(9_000, &ledger))));
+    // The trigger fails the test if a row is written again that has not changed.
+    directory.connection().execute("CREATE TRIGGER t AFTER INSERT ON numbers BEGIN SELECT RAISE(ABORT, 'again') WHERE NEW.version < 5000; END", []).unwrap();
+    let mut store = Store::open(&directory.0).unwrap();
+    expect_that!(store.read().unwrap(), some(eq(&state(9_000, &ledger))));
     ledger.record(9_001, Digest([1; 16]));
-    store.write(&keeping(9_001, &ledger)).unwrap();
-    expect_that!(store.read().unwrap(), some(eq(&keeping(9_001, &ledger))));
-    // What a copy hands over replaces all.
+    store.write(&state(9_001, &ledger)).unwrap();
+    expect_that!(store.read().unwrap(), some(eq(&state(9_001, &ledger))));
+    // A ledger received from another marker replaces all entries.
     let other =
         Ledger::new(Some(8_000), BTreeMap::from([(8_001, Digest([3; 16])), (9_001, Digest([2; 16]))]));
-    store.write(&keeping(9_001, &other)).unwrap();
+    store.write(&state(9_001, &other)).unwrap();
     drop(store);
-    let mut store = Store::open(&folder.0).unwrap();
-    expect_that!(store.read().unwrap(), some(eq(&keeping(9_001, &other))));
+    let mut store = Store::open(&directory.0).unwrap();
+    expect_that!(store.read().unwrap(), some(eq(&state(9_001, &other))));
 }
 
 #[gtest]
-fn a_folder_of_the_form_before_is_carried_over_and_below_what_it_holds_nothing_is_known() {
+fn a_store_of_the_previous_format_is_migrated_and_lower_versions_count_as_forgotten() {
     for (version, forgotten) in [(7, Some(6)), (0, None)] {
-        let folder = Folder::new(&format!("before-{version}"));
-        let mut store = Store::open(&folder.0).unwrap();
-        store.write(&keeping(version, &Ledger::default())).unwrap();
+        let directory = TestDirectory::new(&format!("before-{version}"));
+        let mut store = Store::open(&directory.0).unwrap();
+        store.write(&state(version, &Ledger::default())).unwrap();
         drop(store);
-        let old = "DROP TABLE numbers; DELETE FROM kept WHERE name = 'forgotten'; PRAGMA user_version = 1";
-        folder.disk().execute_batch(old).unwrap();
+        let to_previous_format =
+            "DROP TABLE numbers; DELETE FROM kept WHERE name = 'forgotten'; PRAGMA user_version = 1";
+        directory.connection().execute_batch(to_previous_format).unwrap();
         let digest = Digest::of(&[7; 100]);
-        let carried = keeping(version, &Ledger::new(forgotten, BTreeMap::from([(version, digest)])));
+        let migrated = state(version, &Ledger::new(forgotten, BTreeMap::from([(version, digest)])));
         for _ in 0..2 {
-            let read = Store::open(&folder.0).unwrap().read().unwrap();
-            expect_that!(read, some(eq(&carried)));
+            let read = Store::open(&directory.0).unwrap().read().unwrap();
+            expect_that!(read, some(eq(&migrated)));
         }
-        expect_that!(carried.ledger.lookup(version), eq(VersionState::Content(digest)));
+        expect_that!(migrated.ledger.lookup(version), eq(VersionState::Content(digest)));
     }
 }
