--- a/crates/marker/src/calls.rs
+++ b/crates/marker/src/calls.rs
@@ -41,7 +41,7 @@
         path: "/Instances.Heartbeat/",
         body_max: SERVER_BODY_MAX,
         about: "heartbeat of a server that is ready or draining",
-        build: |id, body| Call::Beat { id, body },
+        build: |id, body| Call::Heartbeat { id, body },
     },
     Route {
         method: Method::POST,
--- a/crates/marker/src/run.rs
+++ b/crates/marker/src/run.rs
@@ -183,7 +183,7 @@
                 Output::Committed(_) => {}
             }
         }
-        let known_markers = self.marker.borrow().known();
+        let known_markers = self.marker.borrow().known_markers();
         let missing: Vec<Ipv4Addr> = {
             let connections_to_markers = self.connections_to_markers.borrow();
             known_markers.into_iter().filter(|ip| !connections_to_markers.contains_key(ip)).collect()
@@ -199,7 +199,7 @@
 async fn maintain_connection(runtime: Rc<Runtime>, ip: Ipv4Addr) {
     let mut backoff = Backoff::new(fastrand::u64(..));
     let to = SocketAddr::from((ip, runtime.internal_port));
-    while runtime.marker.borrow().known().contains(&ip) {
+    while runtime.marker.borrow().known_markers().contains(&ip) {
         let stream = match connection::connect(to).await {
             Ok(stream) => stream,
             Err(ended) => {
@@ -211,10 +211,10 @@
         backoff.reset();
         let sender = Sender::default();
         runtime.connections_to_markers.borrow_mut().insert(ip, sender.clone());
-        runtime.step(|marker, now, out| marker.on_line(now, ip, true, out));
+        runtime.step(|marker, now, out| marker.on_connection_change(now, ip, true, out));
         let ended = connection::run(stream, sender, NO_TIMEOUT, |_| {}).await;
         log::info!("{ip}: {ended}");
-        runtime.step(|marker, now, out| marker.on_line(now, ip, false, out));
+        runtime.step(|marker, now, out| marker.on_connection_change(now, ip, false, out));
         tokio::time::sleep(backoff.next_wait().min(RECONNECT_DELAY_MAX)).await;
     }
     runtime.connections_to_markers.borrow_mut().remove(&ip);
@@ -228,11 +228,11 @@
     let reply_sender = sender.clone();
     let ended = connection::run(stream, sender.clone(), RECEIVE_TIMEOUT, move |message| match message {
         Message::Peer(from, message) => {
-            shared.step(|marker, now, out| marker.on_word(now, from, message, out))
+            shared.step(|marker, now, out| marker.on_peer_message(now, from, message, out))
         }
         Message::ToMarker(message) => {
             shared.sessions.borrow_mut().entry(id).or_insert_with(|| reply_sender.clone());
-            shared.step(|marker, now, out| marker.on_up(now, id, message, out));
+            shared.step(|marker, now, out| marker.on_gatekeeper_message(now, id, message, out));
         }
         Message::ToGatekeeper(_) => reply_sender.close(),
     })
@@ -370,7 +370,7 @@
     let heartbeat_interval = settings.heartbeat_interval.as_millis() as Millis;
     let window = settings.bounds.quota_window.as_millis() as Millis;
     let marker = Marker::new(core, settings.zone.clone(), heartbeat_interval, servers)
-        .remembering(gatekeepers, window);
+        .with_stored_gatekeepers(gatekeepers, window);
     let runtime = Rc::new(Runtime {
         marker: RefCell::new(marker),
         started_at: Instant::now(),
@@ -421,7 +421,7 @@
             () = tokio::time::sleep(SETTINGS_INTERVAL) => {}
         }
         match settings::load() {
-            Ok(settings) => runtime.marker.borrow_mut().reseed(&seed_ips(&settings)),
+            Ok(settings) => runtime.marker.borrow_mut().set_seeds(&seed_ips(&settings)),
             Err(faults) => log::warn!("invalid settings, the earlier ones stay in use: {faults}"),
         }
     }
@@ -443,7 +443,7 @@
     }
     // Lets the last responses be written.
     tokio::time::sleep(TICK_INTERVAL).await;
-    if let Some(version) = runtime.marker.borrow().held_alone() {
+    if let Some(version) = runtime.marker.borrow().sole_copy_version() {
         log::error!(
             "exits with version {version:08x} in its data directory, \
              which no remaining marker is known to store"
--- a/crates/marker/src/state.rs
+++ b/crates/marker/src/state.rs
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
     /// The heartbeat of a server, which may say that it is draining.
-    Beat {
+    Heartbeat {
         /// The id of the server's instance.
         id: String,
         /// The body of the request.
@@ -167,7 +167,7 @@
 
     /// Sets the gatekeepers that were read from disk and the quota window in ms.
     #[must_use]
-    pub fn remembering(mut self, gatekeepers: Vec<String>, window: Millis) -> Marker {
+    pub fn with_stored_gatekeepers(mut self, gatekeepers: Vec<String>, window: Millis) -> Marker {
         self.knows_members = !gatekeepers.is_empty();
         self.stored_members.clone_from(&gatekeepers);
         self.members = Members::stored(self.started_at, gatekeepers);
@@ -187,19 +187,20 @@
     }
 
     /// All other markers, to which connections are kept open.
-    pub fn known(&self) -> BTreeSet<Ipv4Addr> {
+    pub fn known_markers(&self) -> BTreeSet<Ipv4Addr> {
         self.core.known_markers()
     }
 
     /// Replaces the seeds after the settings have changed.
-    pub fn reseed(&mut self, seeds: &[Ipv4Addr]) {
+    pub fn set_seeds(&mut self, seeds: &[Ipv4Addr]) {
         self.core.set_seeds(seeds);
     }
 
     /// Handles a call, which is answered under its id.
     pub fn on_call(&mut self, now: Millis, id: u64, call: Call, out: &mut Vec<Output>) {
         match call {
-            Call::Beat { id: instance_id, body } => match registry::parse_heartbeat(&instance_id, &body) {
+            Call::Heartbeat { id: instance_id, body } => match registry::parse_heartbeat(&instance_id, &body)
+            {
                 Err((kind, text)) => out.push(Output::Answer(id, Reply::Failure(kind, text))),
                 Ok(instance) => {
                     let leaves = instance.state != InstanceState::Ready;
@@ -349,7 +350,7 @@
     }
 
     /// Handles a message of another marker.
-    pub fn on_word(&mut self, now: Millis, from: Node, message: PeerMessage, out: &mut Vec<Output>) {
+    pub fn on_peer_message(&mut self, now: Millis, from: Node, message: PeerMessage, out: &mut Vec<Output>) {
         self.peers.entry(from.ip).or_default().last_message_at = now;
         match message {
             PeerMessage::Servers(ticket, servers) => self.on_peer_servers(now, from.ip, ticket, servers, out),
@@ -413,7 +414,7 @@
     }
 
     /// Handles the opening or the loss of a connection to another marker.
-    pub fn on_line(&mut self, now: Millis, ip: Ipv4Addr, up: bool, out: &mut Vec<Output>) {
+    pub fn on_connection_change(&mut self, now: Millis, ip: Ipv4Addr, up: bool, out: &mut Vec<Output>) {
         if up {
             self.core.on_connected();
             // Requests made while the connection was down were not delivered: send them again.
@@ -438,7 +439,13 @@
     }
 
     /// Handles a message of a gatekeeper.
-    pub fn on_up(&mut self, now: Millis, session: SessionId, message: ToMarker, out: &mut Vec<Output>) {
+    pub fn on_gatekeeper_message(
+        &mut self,
+        now: Millis,
+        session: SessionId,
+        message: ToMarker,
+        out: &mut Vec<Output>,
+    ) {
         match message {
             ToMarker::Hello { incarnation, name, in_force, servers } => {
                 // After a restart of all markers a gatekeeper may know more servers than this marker.
@@ -528,7 +535,7 @@
     }
 
     /// See [`Core::sole_copy_version`].
-    pub fn held_alone(&self) -> Option<u32> {
+    pub fn sole_copy_version(&self) -> Option<u32> {
         self.core.sole_copy_version()
     }
 
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -173,7 +173,7 @@
         last / 200,
         last % 200
     );
-    Call::Beat { id: id.into(), body: body.into_bytes() }
+    Call::Heartbeat { id: id.into(), body: body.into_bytes() }
 }
 
 pub fn status(reply: &Reply) -> u16 {
@@ -301,7 +301,7 @@
                 let keeping = node.disk.clone().unwrap_or_else(|| initial_state(node.ip, &seeds, true, seed));
                 let core = Core::new(keeping, &seeds, (markers - 1) / 2, seed, self.now);
                 let marker = Marker::new(core, format!("zone-{n}"), 1_500, node.servers.clone());
-                node.marker = Some(marker.remembering(node.gatekeepers.clone(), 5_000));
+                node.marker = Some(marker.with_stored_gatekeepers(node.gatekeepers.clone(), 5_000));
                 node.start += 1;
                 // Connections to its previous incarnation are reset.
                 for other in self.others(n) {
@@ -498,7 +498,7 @@
             Event::Between(from, to, incarnation, node, message) => {
                 let line = self.lines.entry((from, to)).or_default();
                 if line.up && line.incarnation == incarnation {
-                    self.step(to, |marker, now, out| marker.on_word(now, node, message, out));
+                    self.step(to, |marker, now, out| marker.on_peer_message(now, node, message, out));
                 }
             }
             Event::Written(n, start, ticket, keeping) if self.markers[n].start == start => {
@@ -512,7 +512,7 @@
                 }
                 if let Some(session) = self.markers[m].sessions.get_mut(&id) {
                     session.1 = now;
-                    self.step(m, |marker, now, out| marker.on_up(now, id, message, out));
+                    self.step(m, |marker, now, out| marker.on_gatekeeper_message(now, id, message, out));
                 }
             }
             Event::Down(m, g, start, id, message) if self.gatekeepers[g].start == start => {
@@ -609,7 +609,7 @@
         if std::mem::take(&mut line.up) {
             line.incarnation += 1;
             let ip = self.markers[to].ip;
-            self.step(from, |marker, now, out| marker.on_line(now, ip, false, out));
+            self.step(from, |marker, now, out| marker.on_connection_change(now, ip, false, out));
         }
     }
 
@@ -634,7 +634,7 @@
                 (false, true) => {
                     if now >= *line.due.get_or_insert(now + wait) {
                         (line.up, line.due) = (true, None);
-                        self.step(from, |marker, now, out| marker.on_line(now, ip, true, out));
+                        self.step(from, |marker, now, out| marker.on_connection_change(now, ip, true, out));
                     }
                 }
             }
