--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of any length and framing, against the real program.
+//! End-to-end tests of request and response bodies of any length and framing.
 
 mod peers;
 
@@ -11,7 +11,7 @@
 
 const MB: usize = 1 << 20;
 
-/// A server that does with each connection, once it has read a request's head, what it is told.
+/// Starts a server that calls `serve` for each request once it has read the request head.
 fn server(serve: impl Fn(&mut BufReader<TcpStream>, &str) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -30,7 +30,7 @@
     addr
 }
 
-/// Reads a head, first line and all.
+/// Reads a message head, including its first line.
 fn head(from: &mut impl BufRead) -> Option<String> {
     let mut text = String::new();
     while !text.ends_with("\r\n\r\n") {
@@ -39,7 +39,7 @@
     Some(text)
 }
 
-/// Reads a body as its head frames it; gives the bytes, or none where it is cut short.
+/// Reads a body with the framing that its head announces; returns `None` if it is truncated.
 fn body(from: &mut impl BufRead, head: &str) -> Option<Vec<u8>> {
     let head = head.to_ascii_lowercase();
     let mut all = Vec::new();
@@ -61,7 +61,7 @@
     }
 }
 
-fn stage(server: SocketAddr) -> (Gatekeeper, Discovery) {
+fn start_gatekeeper(server: SocketAddr) -> (Gatekeeper, Discovery) {
     let discovery = Discovery::start();
     let listed = json!({"uid": "w0", "endpoint": server.to_string(), "az": "a", "state": "up"});
     discovery.list(2, true, &[listed]);
@@ -74,18 +74,18 @@
     (0..length).map(|n| (n * 7 + n / 251) as u8).collect()
 }
 
-fn asked(gatekeeper: &Gatekeeper, ask: &Ask) -> (String, BufReader<TcpStream>) {
+fn send_request(gatekeeper: &Gatekeeper, ask: &Ask) -> (String, BufReader<TcpStream>) {
     let mut client = gatekeeper.connect();
     client.send(&ask.text());
     let mut reader = BufReader::new(client.into_stream());
-    (head(&mut reader).expect("an answer"), reader)
+    (head(&mut reader).expect("a response"), reader)
 }
 
-/// A server that answers in one way, and then closes where the framing says so.
-fn answering(text: Vec<u8>, close: bool) -> SocketAddr {
+/// Starts a server that sends a fixed response, and then closes the connection if `close` is set.
+fn fixed_response_server(text: Vec<u8>, close: bool) -> SocketAddr {
     server(move |reader, _| {
         let stream = reader.get_mut();
-        // In pieces that fit nothing.
+        // Written in pieces that align with no chunk or buffer size.
         let _ = text.chunks(9_973).try_for_each(|piece| stream.write_all(piece));
         if close {
             let _ = stream.shutdown(std::net::Shutdown::Both);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn answers_of_every_framing_come_through_whole() {
+fn responses_of_every_framing_are_forwarded_completely() {
     let content = bytes(3 * MB);
     let mut chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
     for chunk in content.chunks(77_777) {
@@ -115,31 +115,31 @@
         (framed("HTTP/1.0 200 OK\r\n\r\n", &content), true),
     ] {
         let name = String::from_utf8_lossy(&text[..60]).into_owned();
-        let (gatekeeper, _discovery) = stage(answering(text, close));
-        let (head, mut rest) = asked(&gatekeeper, &pull());
+        let (gatekeeper, _discovery) = start_gatekeeper(fixed_response_server(text, close));
+        let (head, mut rest) = send_request(&gatekeeper, &pull());
         assert!(head.starts_with("HTTP/1.1 200"), "{name}: {head}");
         assert!(body(&mut rest, &head) == Some(content.clone()), "{name}");
-        let told = gatekeeper.call("telemetry");
-        assert!(told.contains("app_success{tier=\"pull\"} 1\n"), "{name}: {told}");
+        let report = gatekeeper.call("telemetry");
+        assert!(report.contains("app_success{tier=\"pull\"} 1\n"), "{name}: {report}");
     }
 }
 
-/// A server that tells the bodies it reads.
-fn reading() -> (SocketAddr, Receiver<(String, Vec<u8>)>) {
-    let (tell, told) = channel();
+/// Starts a server that reports the head and body of each request on a channel.
+fn recording_server() -> (SocketAddr, Receiver<(String, Vec<u8>)>) {
+    let (sender, requests) = channel();
     let addr = server(move |reader, head| {
         if let Some(body) = body(reader, head) {
-            let _ = tell.send((head.to_owned(), body));
+            let _ = sender.send((head.to_owned(), body));
             let _ = reader.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         }
     });
-    (addr, told)
+    (addr, requests)
 }
 
 #[test]
-fn requests_of_every_framing_come_through_whole_one_behind_another() {
-    let (addr, told) = reading();
-    let (gatekeeper, _discovery) = stage(addr);
+fn pipelined_requests_of_every_framing_are_forwarded_completely() {
+    let (addr, requests) = recording_server();
+    let (gatekeeper, _discovery) = start_gatekeeper(addr);
     let content = bytes(2 * MB);
     let mut text = Vec::new();
     for length in [5, 70_000, 2 * MB] {
@@ -162,7 +162,7 @@
         thread::spawn(move || text.chunks(7_919).for_each(|piece| writing.write_all(piece).unwrap()));
     let mut reader = BufReader::new(stream);
     for length in [5, 5, 70_000, 70_000, 2 * MB, 2 * MB] {
-        let (_, seen) = told.recv_timeout(PATIENCE).expect("a request");
+        let (_, seen) = requests.recv_timeout(PATIENCE).expect("a request");
         assert!(seen == content[..length], "{length}");
         let head = head(&mut reader).unwrap();
         assert!(head.starts_with("HTTP/1.1 200"), "{length}: {head}");
@@ -176,9 +176,9 @@
 }
 
 #[test]
-fn a_client_that_waits_for_a_word_before_its_body_gets_it() {
-    let (addr, told) = reading();
-    let (gatekeeper, _discovery) = stage(addr);
+fn a_client_that_expects_100_continue_gets_it() {
+    let (addr, requests) = recording_server();
+    let (gatekeeper, _discovery) = start_gatekeeper(addr);
     let ask = Ask { body: None, ..push() }.text();
     let expects = "\r\nExpect: 100-continue\r\nContent-Length: 100000\r\n\r\n";
     let mut client = gatekeeper.connect();
@@ -187,18 +187,18 @@
     assert!(head(&mut reader).unwrap().starts_with("HTTP/1.1 100"));
     reader.get_mut().write_all(&bytes(100_000)).unwrap();
     assert!(head(&mut reader).unwrap().starts_with("HTTP/1.1 200"));
-    assert!(told.recv_timeout(PATIENCE).unwrap().1 == bytes(100_000));
+    assert!(requests.recv_timeout(PATIENCE).unwrap().1 == bytes(100_000));
 }
 
 #[test]
-fn what_a_server_cuts_off_is_cut_off_at_the_client() {
+fn a_truncated_response_is_truncated_at_the_client() {
     let cut = |head: &str| [head.as_bytes(), &bytes(200_000)[..]].concat();
     for text in [
         cut("HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"),
         cut("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n50000\r\n"),
     ] {
-        let (gatekeeper, _discovery) = stage(answering(text, true));
-        let (head, mut rest) = asked(&gatekeeper, &push());
+        let (gatekeeper, _discovery) = start_gatekeeper(fixed_response_server(text, true));
+        let (head, mut rest) = send_request(&gatekeeper, &push());
         assert!(head.starts_with("HTTP/1.1 200"));
         assert_eq!(body(&mut rest, &head), None);
         assert!(gatekeeper.call("telemetry").contains("app_failure{tier=\"push\"} 1\n"));
@@ -206,23 +206,23 @@
 }
 
 #[test]
-fn an_answer_comes_as_it_is_written_not_when_it_is_whole() {
-    let (go, gone) = channel::<()>();
-    let gone = std::sync::Mutex::new(gone);
+fn a_response_is_streamed_as_it_is_written() {
+    let (resume, resumed) = channel::<()>();
+    let resumed = std::sync::Mutex::new(resumed);
     let addr = server(move |reader, _| {
         let stream = reader.get_mut();
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
-        let _ = gone.lock().unwrap().recv_timeout(PATIENCE);
+        let _ = resumed.lock().unwrap().recv_timeout(PATIENCE);
         let _ = stream.write_all(b"4\r\nlast\r\n0\r\n\r\n");
     });
-    let (gatekeeper, _discovery) = stage(addr);
-    let (head, mut rest) = asked(&gatekeeper, &pull());
+    let (gatekeeper, _discovery) = start_gatekeeper(addr);
+    let (head, mut rest) = send_request(&gatekeeper, &pull());
     assert!(head.contains("chunked"), "{head}");
     let mut line = String::new();
     rest.read_line(&mut line).unwrap();
     assert_eq!(line.trim(), "5");
     assert!(gatekeeper.call("telemetry").contains("app_inflight 1\n"));
-    go.send(()).unwrap();
+    resume.send(()).unwrap();
     let mut text = String::new();
     while !text.contains("last") {
         assert!(rest.read_line(&mut text).unwrap() > 0);
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn bodies_far_beyond_the_memory_limit_are_never_held() {
+fn bodies_larger_than_the_memory_limit_are_not_buffered() {
     let length = 32 * MB;
     let addr = server(move |reader, head| {
         let stream = reader.get_mut().try_clone().unwrap();
@@ -242,15 +242,15 @@
         let part = bytes(MB);
         let _ = (0..32).try_for_each(|_| (&stream).write_all(&part));
     });
-    let (gatekeeper, _discovery) = stage(addr);
-    // Answers that nobody reads yet, and a request beside them.
-    let mut waiting: Vec<_> = (0..3).map(|_| asked(&gatekeeper, &pull())).collect();
+    let (gatekeeper, _discovery) = start_gatekeeper(addr);
+    // Responses that no client reads yet, and a concurrent request.
+    let mut waiting: Vec<_> = (0..3).map(|_| send_request(&gatekeeper, &pull())).collect();
     let sending = Ask { body: Some("x".repeat(length)), ..push() };
-    let (head, mut rest) = asked(&gatekeeper, &sending);
+    let (head, mut rest) = send_request(&gatekeeper, &sending);
     assert_eq!(body(&mut rest, &head).map(|body| body.len()), Some(length));
     for (head, rest) in &mut waiting {
         assert_eq!(body(rest, head).map(|body| body.len()), Some(length));
     }
-    let most = gatekeeper.most_memory();
-    assert!(most < 24 * MB, "{most} bytes");
+    let peak = gatekeeper.most_memory();
+    assert!(peak < 24 * MB, "{peak} bytes");
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,4 +1,4 @@
-//! What operators do to the running program: calls at their door.
+//! Operators' actions on the running gatekeeper: admin commands, evacuation, upgrades and server exclusion.
 
 mod peers;
 
@@ -9,27 +9,27 @@
 
 const UP: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// A gatekeeper with a door that knows one server, `w0`.
-fn stage(server: &Server) -> (Gatekeeper, Discovery) {
+/// Starts a gatekeeper with an admin socket whose server list holds one server, `w0`.
+fn start_gatekeeper(server: &Server) -> (Gatekeeper, Discovery) {
     let discovery = Discovery::start();
     discovery.list(2, true, &[server.listed("w0", "up")]);
     (Gatekeeper::ready(&config_with_door(discovery.addr)), discovery)
 }
 
 #[test]
-fn calls_are_answered_beside_silent_callers_and_bad_ones_get_a_no() {
+fn commands_are_answered_beside_silent_connections_and_invalid_ones_rejected() {
     let server = Server::start(ok("served"));
-    let (gatekeeper, _discovery) = stage(&server);
+    let (gatekeeper, _discovery) = start_gatekeeper(&server);
     let silent: Vec<_> = (0..40).map(|_| gatekeeper.knock()).collect();
-    for call in ["readyz", "readyz"] {
-        assert!(gatekeeper.call(call).starts_with("YES"));
+    for command in ["readyz", "readyz"] {
+        assert!(gatekeeper.call(command).starts_with("YES"));
     }
     for bad in ["", "open sesame", "evacuate now", &"x".repeat(10_000), "\u{0}"] {
-        let mut door = gatekeeper.knock();
-        // The answer may come before a long line has been read.
-        let _ = door.write_all(format!("{bad}\n").as_bytes());
+        let mut stream = gatekeeper.knock();
+        // The reply may come before a long line has been read.
+        let _ = stream.write_all(format!("{bad}\n").as_bytes());
         let mut answer = String::new();
-        match door.read_to_string(&mut answer) {
+        match stream.read_to_string(&mut answer) {
             Ok(_) => assert!(answer.starts_with("NO"), "{bad}: {answer}"),
             Err(e) => assert!(bad.len() > 1_000, "{bad}: {e}"),
         }
@@ -38,12 +38,13 @@
     assert_eq!(gatekeeper.ask(UP).status(), 200);
 }
 
-/// A client that reads late and sends more meanwhile: the reset of an early close would destroy what it has not read.
+/// A client reads late and sends more meanwhile. If the gatekeeper closed the connection too early, the TCP
+/// reset would discard the part of the response that the client has not read yet.
 #[test]
-fn an_answer_that_closes_reaches_a_client_that_has_sent_more() {
+fn a_final_response_reaches_a_client_that_has_sent_more() {
     const SIZE: usize = 1_000_000;
     let server = Server::start(ok(&"x".repeat(SIZE)));
-    let (gatekeeper, _discovery) = stage(&server);
+    let (gatekeeper, _discovery) = start_gatekeeper(&server);
     let mut client = gatekeeper.connect();
     assert!(gatekeeper.call("evacuate").starts_with("YES"));
     client.send(&pull().text());
@@ -56,16 +57,16 @@
 }
 
 #[test]
-fn evacuated_clients_lose_nothing_and_leave_until_called_back() {
+fn evacuation_closes_client_connections_without_losing_requests_until_activated() {
     let server = Server::start(ok("served"));
-    let (gatekeeper, _discovery) = stage(&server);
+    let (gatekeeper, _discovery) = start_gatekeeper(&server);
     let mut idle = gatekeeper.connect();
     assert_eq!(idle.ask(&pull().text()).body, "served");
     let mut used = gatekeeper.connect();
     assert_eq!(used.ask(&pull().text()).body, "served");
     assert!(gatekeeper.call("evacuate").starts_with("YES"));
     assert_eq!(gatekeeper.ask(UP).status(), 503);
-    assert!(gatekeeper.call("readyz").starts_with("YES"), "the process still takes whoever comes");
+    assert!(gatekeeper.call("readyz").starts_with("YES"), "the process still accepts connections");
     let begun = Instant::now();
     for mut client in [used, gatekeeper.connect()] {
         let answer = client.ask(&pull().text());
@@ -83,29 +84,30 @@
     }
 }
 
-/// The value of a figure in what the door tells.
-fn figure(gatekeeper: &Gatekeeper, name: &str) -> u64 {
-    let told = gatekeeper.call("telemetry");
-    assert!(told.ends_with("\nEND\n"), "{told}");
-    let value = told.lines().find_map(|line| line.strip_prefix(&format!("{name} ")));
-    value.unwrap_or_else(|| panic!("no {name} in {told}")).parse().unwrap()
+/// Returns the value of a metric from the `telemetry` command.
+fn metric(gatekeeper: &Gatekeeper, name: &str) -> u64 {
+    let report = gatekeeper.call("telemetry");
+    assert!(report.ends_with("\nEND\n"), "{report}");
+    let value = report.lines().find_map(|line| line.strip_prefix(&format!("{name} ")));
+    value.unwrap_or_else(|| panic!("no {name} in {report}")).parse().unwrap()
 }
 
-/// Waits until a figure has come to a value: what ends is counted about when the client reads of it.
-fn comes_to(gatekeeper: &Gatekeeper, name: &str, value: u64) {
+/// Waits until a metric has a value. A request is counted at about the time its client reads the response, so
+/// the metric may lag behind.
+fn wait_for_metric(gatekeeper: &Gatekeeper, name: &str, value: u64) {
     let until = Instant::now() + PATIENCE;
-    while figure(gatekeeper, name) != value {
-        assert!(Instant::now() < until, "{name} {}", figure(gatekeeper, name));
+    while metric(gatekeeper, name) != value {
+        assert!(Instant::now() < until, "{name} {}", metric(gatekeeper, name));
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
 #[test]
-fn figures_tell_what_peers_saw() {
+fn metrics_match_the_requests_that_peers_saw() {
     let server = Server::start(ok("served"));
-    let (gatekeeper, _discovery) = stage(&server);
+    let (gatekeeper, _discovery) = start_gatekeeper(&server);
     for name in ["success{tier=\"pull\"}", "busy{tier=\"swap\"}", "failure{tier=\"push\"}", "backend_calls"] {
-        assert_eq!(figure(&gatekeeper, &format!("app_{name}")), 0);
+        assert_eq!(metric(&gatekeeper, &format!("app_{name}")), 0);
     }
     for _ in 0..3 {
         assert_eq!(gatekeeper.ask(&pull().text()).status(), 200);
@@ -117,10 +119,10 @@
     server.set(Reply::Answer("500 Oops".into(), "no".into()));
     assert_eq!(gatekeeper.ask(&push().text()).status(), 502);
     server.set(Reply::Silence);
-    let mut waits = gatekeeper.connect();
-    waits.send(&push().text());
-    comes_to(&gatekeeper, "app_inflight", 1);
-    comes_to(&gatekeeper, "app_backend_calls", 6);
+    let mut waiting = gatekeeper.connect();
+    waiting.send(&push().text());
+    wait_for_metric(&gatekeeper, "app_inflight", 1);
+    wait_for_metric(&gatekeeper, "app_backend_calls", 6);
     for (name, value) in [
         ("success{tier=\"pull\"}", 3),
         ("success{tier=\"push\"}", 0),
@@ -129,53 +131,53 @@
         ("failure{tier=\"push\"}", 1),
         ("hosts_listed", 1),
     ] {
-        assert_eq!(figure(&gatekeeper, &format!("app_{name}")), value, "{name}");
+        assert_eq!(metric(&gatekeeper, &format!("app_{name}")), value, "{name}");
     }
-    drop(waits);
-    comes_to(&gatekeeper, "app_inflight", 0);
+    drop(waiting);
+    wait_for_metric(&gatekeeper, "app_inflight", 0);
 }
 
 #[test]
-fn an_upgrade_takes_over_quotas_and_connections_and_the_old_process_leaves() {
+fn an_upgrade_hands_over_quotas_and_connections_and_the_old_process_exits() {
     let server = Server::start(ok("served"));
-    let (old, discovery) = stage(&server);
-    takes_over(old, &discovery);
+    let (old, discovery) = start_gatekeeper(&server);
+    check_takeover(old, &discovery);
 }
 
-/// Plays an upgrade from another program, such as an earlier version: `GATEKEEPER=/path/to/it cargo test --test
-/// operations -- --ignored`.
+/// Tests an upgrade from another program, such as an earlier version: `GATEKEEPER=/path/to/it cargo test
+/// --test operations -- --ignored`.
 #[test]
 #[ignore]
-fn an_upgrade_from_another_program_takes_over_as_well() {
+fn an_upgrade_from_another_program_hands_over_too() {
     let (server, discovery) = (Server::start(ok("served")), Discovery::start());
     discovery.list(2, true, &[server.listed("w0", "up")]);
     let before = std::process::Command::new(std::env::var("GATEKEEPER").expect("the variable GATEKEEPER"));
     let old = Gatekeeper::start_by(before, folder(), &config_with_door(discovery.addr)).until_ready();
-    takes_over(old, &discovery);
+    check_takeover(old, &discovery);
 }
 
-/// A gatekeeper that knows of one server gets a successor.
-fn takes_over(mut old: Gatekeeper, discovery: &Discovery) {
+/// Upgrades a gatekeeper that has one server and checks what its successor takes over.
+fn check_takeover(mut old: Gatekeeper, discovery: &Discovery) {
     let many = Ask { tier: "small", terms: "units=20,spread=1,first=0".into(), ..swap() };
     let mut kept = old.connect();
     assert_eq!(kept.ask(&many.text()).status(), 200);
     let new = old.upgrade(&config_with_door(discovery.addr));
     new.wait_for_yes();
-    assert!(old.call("readyz").starts_with("NO"), "two processes say that they take clients");
-    // What the old one let in counts at the new one.
+    assert!(old.call("readyz").starts_with("NO"), "two processes report that they are ready");
+    // Requests that the old process admitted count against the quota at the new one.
     assert_eq!(new.ask(&many.text()).status(), 429);
     assert_eq!(new.ask(&pull().text()).status(), 200);
-    assert_eq!(figure(&new, "app_success{tier=\"pull\"}"), 1);
+    assert_eq!(metric(&new, "app_success{tier=\"pull\"}"), 1);
     let answer = kept.ask(&pull().text());
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert_eq!(old.exit_code(), Some(0), "it leaves without being told to");
+    assert_eq!(old.exit_code(), Some(0), "the old process exits without a signal");
     assert_eq!(new.ask(&pull().text()).status(), 200);
 }
 
 #[test]
-fn connections_that_wait_to_be_taken_survive_an_upgrade() {
+fn connections_in_the_accept_queue_survive_an_upgrade() {
     let server = Server::start(ok("served"));
-    let (old, discovery) = stage(&server);
+    let (old, discovery) = start_gatekeeper(&server);
     let new = old.upgrade(&config_with_door(discovery.addr));
     let mut codes = Vec::new();
     while !new.call("readyz").starts_with("YES") {
@@ -187,17 +189,17 @@
 }
 
 #[test]
-fn the_old_process_serves_on_where_the_new_one_ends_first() {
+fn the_old_process_keeps_serving_if_the_new_one_dies() {
     let server = Server::start(ok("served"));
-    let (old, discovery) = stage(&server);
-    // One that dies before it is ready: it never hears of a list.
-    let mute = Discovery::start();
-    mute.speaks.store(0, std::sync::atomic::Ordering::SeqCst);
-    let dead = old.upgrade(&config_with_door(mute.addr));
+    let (old, discovery) = start_gatekeeper(&server);
+    // The new process dies before it is ready: it never receives a server list.
+    let silent_discovery = Discovery::start();
+    silent_discovery.speaks.store(0, std::sync::atomic::Ordering::SeqCst);
+    let dead = old.upgrade(&config_with_door(silent_discovery.addr));
     assert!(dead.call("readyz").starts_with("NO"));
     assert_eq!(old.ask(&pull().text()).status(), 200);
     dead.kill();
-    // And one that dies once it has taken over, while the old one still has a client.
+    // The new process dies after it has taken over, while the old one still has a client.
     let mut kept = old.connect();
     server.set(Reply::Silence);
     kept.send(&push().text());
@@ -213,20 +215,20 @@
 }
 
 #[test]
-fn nobody_or_nonsense_at_the_meeting_place_holds_no_start_up() {
+fn a_stale_or_misbehaving_handover_socket_does_not_block_start_up() {
     use std::os::unix::net::UnixListener;
     let server = Server::start(ok("served"));
     let discovery = Discovery::start();
     discovery.list(2, true, &[server.listed("w0", "up")]);
     for how in ["stale", "silent", "nonsense"] {
         let folder = folder();
-        let place = folder.path("hingestage.sock");
+        let socket = folder.path("hingestage.sock");
         let peer = match how {
             "stale" => {
-                std::fs::write(&place, "what a dead process left").unwrap();
+                std::fs::write(&socket, "what a dead process left").unwrap();
                 None
             }
-            _ => Some(UnixListener::bind(&place).unwrap()),
+            _ => Some(UnixListener::bind(&socket).unwrap()),
         };
         if let ("nonsense", Some(peer)) = (how, &peer) {
             let peer = peer.try_clone().unwrap();
@@ -243,41 +245,41 @@
 }
 
 #[test]
-fn a_server_left_out_gets_nothing_until_it_is_put_back_also_across_an_upgrade() {
+fn an_excluded_server_gets_no_requests_until_included_even_across_an_upgrade() {
     let (w0, w1) = (Server::start(ok("w0")), Server::start(ok("w1")));
     let discovery = Discovery::start();
     let listed = [w0.listed("w0", "up"), w1.listed("w1", "up")];
     discovery.list(2, true, &listed);
     let old = Gatekeeper::ready(&config_with_door(discovery.addr));
-    let asked = |gatekeeper: &Gatekeeper| (0..20).for_each(|_| drop(gatekeeper.ask(&pull().text())));
-    asked(&old);
+    let send_requests = |gatekeeper: &Gatekeeper| (0..20).for_each(|_| drop(gatekeeper.ask(&pull().text())));
+    send_requests(&old);
     assert!(w0.requests() > 0);
     assert!(old.call("exclude w9").starts_with("NO"), "never listed");
     assert!(old.call("include w9").starts_with("NO"), "never listed");
     for _ in 0..2 {
         assert!(old.call("exclude w0").starts_with("YES"));
     }
-    assert_eq!(figure(&old, "app_hosts_down"), 1);
+    assert_eq!(metric(&old, "app_hosts_down"), 1);
     discovery.list(3, true, &listed);
-    asked(&old);
+    send_requests(&old);
     let new = old.upgrade(&config_with_door(discovery.addr));
     new.wait_for_yes();
-    asked(&new);
+    send_requests(&new);
     assert_eq!(w0.requests(), 0);
     assert!(w1.requests() >= 40);
-    assert_eq!(figure(&new, "app_hosts_down"), 1);
+    assert_eq!(metric(&new, "app_hosts_down"), 1);
     assert!(new.call("include w0").starts_with("YES"));
     let until = Instant::now() + PATIENCE;
     while w0.requests() == 0 {
         assert!(Instant::now() < until, "not used again");
-        asked(&new);
+        send_requests(&new);
     }
-    assert_eq!(figure(&new, "app_hosts_down"), 0);
+    assert_eq!(metric(&new, "app_hosts_down"), 0);
 }
 
-/// Where no Unix socket can be had there are no upgrades, and all else is as ever.
+/// Without a Unix socket there are no upgrades; everything else works.
 #[test]
-fn it_starts_and_serves_where_a_unix_socket_cannot_be_had() {
+fn it_starts_and_serves_without_a_unix_socket() {
     let server = Server::start(ok("served"));
     let discovery = Discovery::start();
     discovery.list(2, true, &[server.listed("w0", "up")]);
@@ -289,9 +291,9 @@
     assert!(gatekeeper.call("telemetry").contains("app_hosts_listed 1"));
 }
 
-/// Three that tell each other who lives, one without that, and datagrams that are nobody's.
+/// Three gatekeepers with membership enabled, one without it, and datagrams from an unknown sender.
 #[test]
-fn gatekeepers_that_are_told_to_know_who_of_them_lives() {
+fn gatekeepers_with_membership_track_which_of_them_are_alive() {
     let server = Server::start(ok("served"));
     let discovery = Discovery::start();
     discovery.list(2, true, &[server.listed("w0", "up")]);
@@ -308,7 +310,7 @@
         Gatekeeper::ready(&config)
     };
     let counts = |gatekeeper: &Gatekeeper| {
-        ["alive", "dead"].map(|state| figure(gatekeeper, &format!("app_members{{state=\"{state}\"}}")))
+        ["alive", "dead"].map(|state| metric(gatekeeper, &format!("app_members{{state=\"{state}\"}}")))
     };
     let until = |what: &str, holds: &dyn Fn() -> bool| {
         let until = Instant::now() + PATIENCE;
@@ -318,15 +320,19 @@
         }
     };
     let (zero, one, two) = (start(0), start(1), start(2));
-    until("all know all", &|| [&zero, &one, &two].iter().all(|it| counts(it) == [2, 0]));
+    until("all see all as alive", &|| [&zero, &one, &two].iter().all(|it| counts(it) == [2, 0]));
     drop(two);
-    until("a death is known", &|| [&zero, &one].iter().all(|it| counts(it) == [1, 1]));
+    until("the failure is detected", &|| [&zero, &one].iter().all(|it| counts(it) == [1, 1]));
     let two = start(2);
-    until("who is back is known", &|| [&zero, &one, &two].iter().all(|it| counts(it) == [2, 0]));
-    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    stranger.send_to(b"hello", &peers[0]).unwrap();
-    until("strangers are counted", &|| figure(&zero, "app_peer_datagrams{what=\"stranger\"}") == 1);
-    // Without its key nothing of it is there.
+    until("the restarted one is seen as alive", &|| {
+        [&zero, &one, &two].iter().all(|it| counts(it) == [2, 0])
+    });
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
+    unknown_sender.send_to(b"hello", &peers[0]).unwrap();
+    until("datagrams from unknown senders are counted", &|| {
+        metric(&zero, "app_peer_datagrams{what=\"stranger\"}") == 1
+    });
+    // Without `membership` in the configuration, its metrics are absent.
     let alone = Gatekeeper::ready(&config_with_door(discovery.addr));
     assert!(!alone.call("telemetry").contains("app_members"));
 }
