--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on wire text.
+//! Tests the simulator adapter as a process: text protocol in, text protocol out.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -23,7 +23,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // A child that has given up closes its input; the write may then fail.
+    // A child that has exited on an error has closed its input, and the write may fail.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     let out = child.wait_with_output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_request_is_sent_counted_and_ended() {
+fn a_request_is_sent_counted_and_completed() {
     let tick = "WAKE\tgatekeeper=0\tnonce=0";
     let done = "RESOLVED\tgatekeeper=0\tticket=r-1\tn=0\tworker=77\tstatus=GOOD\tlatencyUs=5000\tterminal=1\tseenUse=3";
     let (ok, out, err) = run(&[batch(1, &[LAUNCH, LIST, DEMAND]), batch(2, &[tick, done])].concat());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn empty_batches_restarts_and_unused_events_are_taken() {
+fn empty_batches_restarts_and_unused_events_are_accepted() {
     let empty = "MARK\tnowUs=5\tturn=1\nGO\n\nMARK\tnowUs=6\tturn=2\nGO\n";
     assert_eq!(run(empty), (true, "DONE\tturn=1\nDONE\tturn=2\n".into(), String::new()));
     let stop = "TEARDOWN\tgatekeeper=0";
@@ -58,15 +58,15 @@
 }
 
 #[test]
-fn malformed_lines_are_named_and_end_the_program() {
+fn malformed_lines_are_reported_and_end_the_program() {
     let bad_number = DEMAND.replace("graceUs=900000", "graceUs=soon");
     let missing = DEMAND.replace("caller=c-1\t", "");
-    let bad_word = "RESOLVED\tgatekeeper=0\tticket=r-1\tn=0\tworker=77\tstatus=MAYBE";
+    let bad_status = "RESOLVED\tgatekeeper=0\tticket=r-1\tn=0\tworker=77\tstatus=MAYBE";
     let no_effect = LAUNCH.replace("effect=idempotent", "effect=perhaps");
-    for (lines, place, field) in [
+    for (lines, location, field) in [
         (vec![LAUNCH, LIST, &bad_number], "line 5", "graceUs"),
         (vec![LAUNCH, LIST, &missing], "line 5", "caller"),
-        (vec![LAUNCH, LIST, bad_word], "line 5", "status"),
+        (vec![LAUNCH, LIST, bad_status], "line 5", "status"),
         (vec![&no_effect], "line 2", "services.0.effect"),
         (vec!["WHAT\tgatekeeper=0"], "line 2", "gatekeeper"),
         (vec![LAUNCH, "WHAT\tgatekeeper=0"], "line 3", "name"),
@@ -75,7 +75,7 @@
     ] {
         let (ok, out, err) = run(&batch(1, &lines));
         assert!(!ok && out.is_empty(), "{out}");
-        assert!(err.contains(place) && err.contains(field), "{err}");
+        assert!(err.contains(location) && err.contains(field), "{err}");
     }
     let (ok, _, err) = run("MARK\tnowUs=1\tturn=1\n");
     assert!(!ok && err.contains("inside a batch"), "{err}");
--- a/tests/house.rs
+++ b/tests/house.rs
@@ -1,20 +1,21 @@
-//! The house stands as docs/design.md says: imports between the files of a crate run one way.
+//! Checks that imports between the modules of a crate form no cycle, as docs/design.md demands.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// What each file of a crate imports from others of it: by module, as `a::b`, the crate's root being empty.
+/// The modules of the same crate that each module imports. Module paths are written `a::b`; the crate root is
+/// the empty string.
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
-/// All files of a crate by module, with their texts.
-fn files(folder: &Path, module: &str, into: &mut BTreeMap<String, String>) {
-    for entry in fs::read_dir(folder).unwrap() {
+/// Collects the source text of each module below a directory.
+fn read_modules(directory: &Path, module: &str, into: &mut BTreeMap<String, String>) {
+    for entry in fs::read_dir(directory).unwrap() {
         let path = entry.unwrap().path();
         let name = path.file_stem().unwrap().to_str().unwrap().to_owned();
         let inner = if module.is_empty() { name.clone() } else { format!("{module}::{name}") };
         if path.is_dir() {
-            files(&path, &inner, into);
+            read_modules(&path, &inner, into);
         } else {
             let module = if ["lib", "mod"].contains(&name.as_str()) { module.to_owned() } else { inner };
             into.insert(module, fs::read_to_string(&path).unwrap());
@@ -22,17 +23,19 @@
     }
 }
 
-/// The paths that a text names after `use`, with groups spelt out; what its tests use does not count.
-fn used(text: &str) -> Vec<String> {
+/// The paths that a source text uses: in `use` declarations, with groups expanded, and inline in the code.
+/// Unit tests are ignored.
+fn used_paths(text: &str) -> Vec<String> {
     let text = text.split("#[cfg(test)]").next().unwrap();
     let mut paths = Vec::new();
     let mut rest = text;
     while let Some((before, after)) = rest.split_once("use ") {
-        let begins = before.rsplit('\n').next().unwrap().trim().trim_end_matches("pub").trim().is_empty();
+        let starts_line =
+            before.rsplit('\n').next().unwrap().trim().trim_end_matches("pub").trim().is_empty();
         rest = after;
-        if begins {
+        if starts_line {
             let (tree, after) = after.split_once(';').unwrap();
-            spell_out("", &tree.split_whitespace().collect::<Vec<_>>().join(" "), &mut paths);
+            expand_use_tree("", &tree.split_whitespace().collect::<Vec<_>>().join(" "), &mut paths);
             rest = after;
         }
     }
@@ -49,7 +52,8 @@
     paths
 }
 
-fn spell_out(before: &str, tree: &str, into: &mut Vec<String>) {
+/// Expands a use tree such as `a::{b, c}` below a prefix into single paths.
+fn expand_use_tree(before: &str, tree: &str, into: &mut Vec<String>) {
     let Some((path, group)) = tree.split_once('{') else {
         return into.push(format!("{before}{}", tree.split(" as ").next().unwrap().trim()));
     };
@@ -61,16 +65,17 @@
             let part = group[begin..at].trim();
             begin = at + 1;
             if !part.is_empty() {
-                spell_out(&format!("{before}{}", path.trim()), part, into);
+                expand_use_tree(&format!("{before}{}", path.trim()), part, into);
             }
         }
     }
 }
 
+/// Resolves the paths that each module uses to modules of the same crate.
 fn imports(texts: &BTreeMap<String, String>) -> Imports {
     let parent = |module: &str| module.rsplit_once("::").map_or("", |(parent, _)| parent).to_owned();
     let joined = |a: &str, b: &str| if a.is_empty() { b.to_owned() } else { format!("{a}::{b}") };
-    let of = |module: &str, path: &str| {
+    let resolve = |module: &str, path: &str| {
         let full = match path.split_once("::") {
             Some(("crate", rest)) => rest.to_owned(),
             Some(("super", rest)) => joined(&parent(module), rest),
@@ -81,61 +86,62 @@
         while !names.is_empty() && !texts.contains_key(&names.join("::")) {
             names.pop();
         }
-        let own = !matches!(path.split("::").next(), Some("crate" | "super" | "self"));
-        // A path that begins with neither is of another crate, unless it is that of a module in here.
+        let unprefixed = !matches!(path.split("::").next(), Some("crate" | "super" | "self"));
+        // A path with none of these prefixes belongs to another crate, unless it names a child of this
+        // module.
         let found = names.join("::");
-        (!(own && found.len() <= module.len()) && found != module).then_some(found)
+        (!(unprefixed && found.len() <= module.len()) && found != module).then_some(found)
     };
     texts
         .iter()
         .map(|(module, text)| {
-            (module.clone(), used(text).iter().filter_map(|path| of(module, path)).collect())
+            (module.clone(), used_paths(text).iter().filter_map(|path| resolve(module, path)).collect())
         })
         .collect()
 }
 
-/// A way from a module back to itself, if there is one.
-fn circle(imports: &Imports) -> Option<Vec<String>> {
-    fn walk(imports: &Imports, way: &mut Vec<String>, done: &mut BTreeSet<String>) -> bool {
-        let at = way.last().cloned().unwrap_or_default();
+/// Returns a path of imports that ends in a module already on it, if there is one.
+fn find_cycle(imports: &Imports) -> Option<Vec<String>> {
+    fn visit(imports: &Imports, path: &mut Vec<String>, visited: &mut BTreeSet<String>) -> bool {
+        let at = path.last().cloned().unwrap_or_default();
         for next in imports.get(&at).into_iter().flatten() {
-            let seen = way.contains(next);
-            way.push(next.clone());
-            if seen || (!done.contains(next) && walk(imports, way, done)) {
+            let seen = path.contains(next);
+            path.push(next.clone());
+            if seen || (!visited.contains(next) && visit(imports, path, visited)) {
                 return true;
             }
-            way.pop();
+            path.pop();
         }
-        done.insert(at);
+        visited.insert(at);
         false
     }
-    let mut done = BTreeSet::new();
+    let mut visited = BTreeSet::new();
     imports.keys().find_map(|module| {
-        let mut way = vec![module.clone()];
-        walk(imports, &mut way, &mut done).then_some(way)
+        let mut path = vec![module.clone()];
+        visit(imports, &mut path, &mut visited).then_some(path)
     })
 }
 
 #[test]
-fn no_files_of_a_crate_import_each_other_in_a_circle() {
+fn modules_of_a_crate_have_no_cyclic_imports() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("crates");
     let crates: Vec<PathBuf> = fs::read_dir(root).unwrap().map(|entry| entry.unwrap().path()).collect();
     let mut edges = 0;
-    for folder in crates {
+    for directory in crates {
         let mut texts = BTreeMap::new();
-        files(&folder.join("src"), "", &mut texts);
+        read_modules(&directory.join("src"), "", &mut texts);
         let imports = imports(&texts);
         edges += imports.values().map(BTreeSet::len).sum::<usize>();
-        assert_eq!(circle(&imports), None, "{}", folder.display());
+        assert_eq!(find_cycle(&imports), None, "{}", directory.display());
     }
-    assert!(edges >= 60, "only {edges} imports are seen");
+    assert!(edges >= 60, "only {edges} imports were found");
 }
 
 #[test]
-fn a_circle_is_seen_however_it_is_written() {
+fn cycles_are_found_in_every_form_of_import() {
     let tree = |a: &str, b: &str, c: &str| {
         let texts = [("", "mod a;"), ("a", a), ("a::b", b), ("c", c)];
-        circle(&imports(&texts.map(|(module, text)| (module.to_owned(), text.to_owned())).into()))
+        find_cycle(&imports(&texts.map(|(module, text)| (module.to_owned(), text.to_owned())).into()))
     };
     assert_eq!(tree("use crate::c::X;", "use super::Y;", "use std::io;"), None);
     for (a, b, c) in [
@@ -145,8 +151,8 @@
         ("use self::b::X;", "use crate::c::Z;", "use crate::{\n    a::Y,\n};"),
         ("", "fn f() { crate::c::go() }", "use crate::a::b::Y;"),
     ] {
-        let way = tree(a, b, c);
-        assert!(way.as_ref().is_some_and(|way| way.len() > 2), "{a} {b} {c}: {way:?}");
+        let path = tree(a, b, c);
+        assert!(path.as_ref().is_some_and(|path| path.len() > 2), "{a} {b} {c}: {path:?}");
     }
     assert_eq!(tree("#[cfg(test)]\nmod tests { use crate::c::X; }", "", "use crate::a::Y;"), None);
 }
--- a/tests/instructions.rs
+++ b/tests/instructions.rs
@@ -1,9 +1,9 @@
-//! Instructions for each request, from accept to answer, as callgrind counts them. Needs valgrind; measures, and is not
-//! part of the suite:
+//! Measures the instructions per request, from accept to response, with callgrind. Needs valgrind and is not
+//! part of the regular test run:
 //!
 //! `cargo test --release --test instructions -- --ignored --nocapture`
 //!
-//! `GATEKEEPER=/path/to/another/program` measures that one on the same stand-ins.
+//! `GATEKEEPER=/path/to/another/program` measures that program against the same mock peers.
 
 mod peers;
 
@@ -12,10 +12,11 @@
 
 const SERVERS: usize = 4;
 const CLIENTS: usize = 8;
-/// Requests of each client, in a short run and in a long one: what both do once, as to start, falls out.
+/// Requests per client in a short and in a long run. The difference between the two excludes one-time work
+/// such as start-up.
 const REQUESTS: (usize, usize) = (50, 300);
 
-/// Instructions of one run in which each client sends so many requests, one after the other.
+/// Returns the instructions of one run in which each client sends `requests` requests, one after the other.
 fn run(requests: usize) -> u64 {
     let (servers, discovery) = ((0..SERVERS).map(|_| Server::start(ok("served"))), Discovery::start());
     let servers: Vec<Server> = servers.collect();
@@ -32,7 +33,7 @@
     for _ in 0..requests {
         clients.iter_mut().for_each(|client| client.send(&pull().text()));
         for client in &mut clients {
-            assert_eq!(client.answer().expect("an answer").status(), 200);
+            assert_eq!(client.answer().expect("a response").status(), 200);
         }
     }
     gatekeeper.terminate();
@@ -44,10 +45,10 @@
 
 #[test]
 #[ignore]
-fn instructions_for_each_request() {
+fn instructions_per_request() {
     for _ in 0..3 {
         let (few, many) = (run(REQUESTS.0), run(REQUESTS.1));
         let requests = (CLIENTS * (REQUESTS.1 - REQUESTS.0)) as u64;
-        println!("instructions for each request: {}", (many - few) / requests);
+        println!("instructions per request: {}", (many - few) / requests);
     }
 }
--- a/tests/marker_shutdown.rs
+++ b/tests/marker_shutdown.rs
@@ -1,4 +1,4 @@
-//! A marker that is told to end answers the calls that have come.
+//! Checks that a marker that receives SIGTERM answers the requests it has already received.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -6,20 +6,21 @@
 use std::process::{Child, Command};
 use std::time::{Duration, Instant};
 
-/// Time for the process to listen, and to end.
-const SOON: Duration = Duration::from_secs(10);
+/// Time limit for the process to listen, to answer and to exit.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A marker of a core whose other members are not there, so that no order becomes certain.
+/// A marker whose core peers are all absent, so that no change can be committed.
 struct LoneMarker {
     process: Child,
     control: String,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
 impl LoneMarker {
     fn start() -> LoneMarker {
-        let folder = std::env::temp_dir().join(format!("granitelead-marker-shutdown-{}", std::process::id()));
-        std::fs::create_dir_all(folder.join("data")).unwrap();
+        let directory =
+            std::env::temp_dir().join(format!("granitelead-marker-shutdown-{}", std::process::id()));
+        std::fs::create_dir_all(directory.join("data")).unwrap();
         let port = |listener: &TcpListener| listener.local_addr().unwrap().port();
         let (outer, inner) =
             (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
@@ -43,17 +44,17 @@
 machine-losses = 1
 "#,
             internal.saturating_add(1),
-            folder.join("data").display(),
+            directory.join("data").display(),
         );
-        let file = folder.join("node.toml");
+        let file = directory.join("node.toml");
         std::fs::write(&file, settings).unwrap();
         let process =
             Command::new(env!("CARGO_BIN_EXE_marker")).env("GRANITELEAD_NODE_FILE", &file).spawn().unwrap();
-        LoneMarker { process, control, folder }
+        LoneMarker { process, control, directory }
     }
 
     fn connect(&self) -> TcpStream {
-        let until = Instant::now() + SOON;
+        let until = Instant::now() + TIMEOUT;
         loop {
             match TcpStream::connect(&self.control) {
                 Ok(stream) => return stream,
@@ -66,10 +67,10 @@
 
 impl Drop for LoneMarker {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // It may have exited already.
         let _ = self.process.kill();
         let _ = self.process.wait();
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
@@ -81,18 +82,18 @@
 "transport-security":false}]}"#;
 
 #[test]
-fn an_order_that_waits_when_its_marker_is_told_to_end_is_answered() {
+fn a_pending_change_is_answered_when_its_marker_shuts_down() {
     let mut marker = LoneMarker::start();
     let mut call = marker.connect();
-    call.set_read_timeout(Some(SOON)).unwrap();
+    call.set_read_timeout(Some(TIMEOUT)).unwrap();
     let head = format!(
         "POST /Configuration.Replace HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
         CONFIGURATION.len()
     );
     call.write_all(format!("{head}{CONFIGURATION}").as_bytes()).unwrap();
-    // A second call that is answered at once shows that the first one has come.
+    // A second request that is answered at once shows that the first one has been received.
     let mut status = marker.connect();
-    status.set_read_timeout(Some(SOON)).unwrap();
+    status.set_read_timeout(Some(TIMEOUT)).unwrap();
     status.write_all(b"GET /System.Status HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").unwrap();
     let mut text = String::new();
     status.read_to_string(&mut text).unwrap();
@@ -101,12 +102,12 @@
     rustix::process::kill_process(id, rustix::process::Signal::TERM).unwrap();
     let mut answer = String::new();
     call.read_to_string(&mut answer).unwrap();
-    // No majority is there: whether it is in force is uncertain.
+    // Without a majority, it is uncertain whether the change is in force.
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer:?}");
     assert!(answer.contains("uncertain"), "{answer:?}");
-    let until = Instant::now() + SOON;
+    let until = Instant::now() + TIMEOUT;
     while marker.process.try_wait().unwrap().is_none() {
-        assert!(Instant::now() < until, "the marker does not end");
+        assert!(Instant::now() < until, "the marker does not exit");
         std::thread::yield_now();
     }
 }
