--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -65,7 +65,7 @@
     let discovery = Discovery::start();
     let listed = json!({"uid": "w0", "endpoint": server.to_string(), "az": "a", "state": "up"});
     discovery.list(2, true, &[listed]);
-    let mut config = config_with_door(discovery.addr);
+    let mut config = config_with_admin(discovery.addr);
     config["limits"]["memory_mb"] = 32.into();
     (Gatekeeper::ready(&config), discovery)
 }
@@ -74,7 +74,7 @@
     (0..length).map(|n| (n * 7 + n / 251) as u8).collect()
 }
 
-fn send_request(gatekeeper: &Gatekeeper, ask: &Ask) -> (String, BufReader<TcpStream>) {
+fn send_request(gatekeeper: &Gatekeeper, ask: &RequestSpec) -> (String, BufReader<TcpStream>) {
     let mut client = gatekeeper.connect();
     client.send(&ask.text());
     let mut reader = BufReader::new(client.into_stream());
@@ -143,7 +143,7 @@
     let content = bytes(2 * MB);
     let mut text = Vec::new();
     for length in [5, 70_000, 2 * MB] {
-        let ask = Ask { body: None, ..push() };
+        let ask = RequestSpec { body: None, ..push() };
         let long = format!("Content-Length: {length}\r\n\r\n");
         text.extend(ask.text().replacen("\r\n\r\n", &format!("\r\n{long}"), 1).as_bytes());
         text.extend(&content[..length]);
@@ -162,7 +162,7 @@
         thread::spawn(move || text.chunks(7_919).for_each(|piece| writing.write_all(piece).unwrap()));
     let mut reader = BufReader::new(stream);
     for length in [5, 5, 70_000, 70_000, 2 * MB, 2 * MB] {
-        let (_, seen) = requests.recv_timeout(PATIENCE).expect("a request");
+        let (_, seen) = requests.recv_timeout(TIMEOUT).expect("a request");
         assert!(seen == content[..length], "{length}");
         let head = head(&mut reader).unwrap();
         assert!(head.starts_with("HTTP/1.1 200"), "{length}: {head}");
@@ -172,14 +172,14 @@
 }
 
 fn swap_head() -> String {
-    Ask { body: None, ..swap() }.text()
+    RequestSpec { body: None, ..swap() }.text()
 }
 
 #[test]
 fn a_client_that_expects_100_continue_gets_it() {
     let (addr, requests) = recording_server();
     let (gatekeeper, _discovery) = start_gatekeeper(addr);
-    let ask = Ask { body: None, ..push() }.text();
+    let ask = RequestSpec { body: None, ..push() }.text();
     let expects = "\r\nExpect: 100-continue\r\nContent-Length: 100000\r\n\r\n";
     let mut client = gatekeeper.connect();
     client.send(&ask.replacen("\r\n\r\n", expects, 1));
@@ -187,7 +187,7 @@
     assert!(head(&mut reader).unwrap().starts_with("HTTP/1.1 100"));
     reader.get_mut().write_all(&bytes(100_000)).unwrap();
     assert!(head(&mut reader).unwrap().starts_with("HTTP/1.1 200"));
-    assert!(requests.recv_timeout(PATIENCE).unwrap().1 == bytes(100_000));
+    assert!(requests.recv_timeout(TIMEOUT).unwrap().1 == bytes(100_000));
 }
 
 #[test]
@@ -212,7 +212,7 @@
     let addr = server(move |reader, _| {
         let stream = reader.get_mut();
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
-        let _ = resumed.lock().unwrap().recv_timeout(PATIENCE);
+        let _ = resumed.lock().unwrap().recv_timeout(TIMEOUT);
         let _ = stream.write_all(b"4\r\nlast\r\n0\r\n\r\n");
     });
     let (gatekeeper, _discovery) = start_gatekeeper(addr);
@@ -245,12 +245,12 @@
     let (gatekeeper, _discovery) = start_gatekeeper(addr);
     // Responses that no client reads yet, and a concurrent request.
     let mut waiting: Vec<_> = (0..3).map(|_| send_request(&gatekeeper, &pull())).collect();
-    let sending = Ask { body: Some("x".repeat(length)), ..push() };
+    let sending = RequestSpec { body: Some("x".repeat(length)), ..push() };
     let (head, mut rest) = send_request(&gatekeeper, &sending);
     assert_eq!(body(&mut rest, &head).map(|body| body.len()), Some(length));
     for (head, rest) in &mut waiting {
         assert_eq!(body(rest, head).map(|body| body.len()), Some(length));
     }
-    let peak = gatekeeper.most_memory();
+    let peak = gatekeeper.peak_memory();
     assert!(peak < 24 * MB, "{peak} bytes");
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -18,7 +18,7 @@
 /// A configuration with an admin socket, one server and a low socket limit.
 fn low_limit_config(server: &Server, discovery: &Discovery) -> Value {
     discovery.list(2, true, &[server.listed("w0", "up")]);
-    let mut config = config_with_door(discovery.addr);
+    let mut config = config_with_admin(discovery.addr);
     config["limits"]["sockets"] = 100.into();
     config
 }
@@ -30,7 +30,7 @@
 }
 
 fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     while !done() {
         assert!(Instant::now() < end, "never: {what}");
         thread::sleep(Duration::from_millis(10));
@@ -119,7 +119,7 @@
         let mut own = (n % 2 == 0).then(|| gatekeeper.connect());
         let client = own.as_mut().unwrap_or(&mut kept);
         client.try_send(&pull().text());
-        client.answer().map(|answer| answer.status())
+        client.response().map(|answer| answer.status())
     });
     let answers = answers.collect();
     running.store(false, Ordering::SeqCst);
@@ -147,7 +147,7 @@
     let clients: Vec<_> = (0..40)
         .map(|_| {
             let gatekeeper = gatekeeper.clone();
-            thread::spawn(move || gatekeeper.ask(&pull().text()).status())
+            thread::spawn(move || gatekeeper.exchange(&pull().text()).status())
         })
         .collect();
     let answers: Vec<u16> = clients.into_iter().map(|client| client.join().unwrap()).collect();
@@ -157,8 +157,8 @@
         .rest()
         .iter()
         .filter_map(|seen| match seen {
-            Seen::Request { conn, .. } => Some(*conn),
-            Seen::Closed { .. } => None,
+            ServerEvent::Request { conn, .. } => Some(*conn),
+            ServerEvent::Closed { .. } => None,
         })
         .collect();
     println!("{served} served of 40 at once, over {} connections", conns.len());
@@ -183,7 +183,7 @@
     let mut client = gatekeeper.connect();
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_secs(2) {
-        assert!([429, 502, 503].contains(&client.ask(&pull().text()).status()));
+        assert!([429, 502, 503].contains(&client.exchange(&pull().text()).status()));
     }
     let (begun, failed) = (metric(&gatekeeper, "handshakes"), metric(&gatekeeper, "handshakes_failed"));
     assert!(begun == failed && begun <= 40, "{begun} connections started to a server that refuses them");
@@ -216,9 +216,9 @@
     wait_until("the connections are counted", || metric(&gatekeeper, "client_source_most") >= 5);
     assert_eq!(metric(&gatekeeper, "client_source_most"), 5);
     let mut old = gatekeeper.connect();
-    assert_eq!(old.ask(&pull().text()).status(), 200);
+    assert_eq!(old.exchange(&pull().text()).status(), 200);
     drop(many);
-    assert!(old.answer().is_none(), "it is closed between two requests");
+    assert!(old.response().is_none(), "it is closed between two requests");
     wait_until("closed because of its age", || metric(&gatekeeper, "clients_closed{reason=\"age\"}") > 0);
 }
 
@@ -243,7 +243,7 @@
     wait_until("it serves again", || {
         let mut client = gatekeeper.connect();
         client.try_send(&pull().text());
-        client.answer().is_some_and(|answer| answer.status() == 200)
+        client.response().is_some_and(|answer| answer.status() == 200)
     });
 }
 
@@ -253,7 +253,7 @@
     let gatekeeper = Gatekeeper::ready(&low_limit_config(&server, &discovery));
     let (_silent, mut half, mut further) = (gatekeeper.connect(), gatekeeper.connect(), gatekeeper.connect());
     half.try_send("GET /");
-    assert_eq!(further.ask(&pull().text()).status(), 200);
+    assert_eq!(further.exchange(&pull().text()).status(), 200);
     further.try_send("GET /");
     wait_until("incomplete first requests time out", || {
         metric(&gatekeeper, "clients_closed{reason=\"first\"}") == 2
@@ -278,10 +278,10 @@
     for _ in 0..4 {
         for _ in 0..400 {
             let mut client = gatekeeper.connect();
-            assert_eq!(client.ask(&pull().text()).status(), 200);
+            assert_eq!(client.exchange(&pull().text()).status(), 200);
             idle.push(client);
         }
-        memory.push(gatekeeper.most_memory());
+        memory.push(gatekeeper.peak_memory());
     }
     println!("bytes per additional idle connection: {}", (memory[3] - memory[0]) / 1_200);
 }
--- a/tests/discovery/fleet.rs
+++ b/tests/discovery/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole fleet on one list service: 300 of the gatekeeper's own clients, 200 servers.
+//! Load tests of one list service with 300 list clients of gatekeepers and 200 servers.
 
 use crate::peers::list::Service;
 use granitelead_list::follower::{Follower, ListStatus, RequestTiming};
@@ -16,17 +16,17 @@
 
 const GATEKEEPERS: u32 = 300;
 const SERVERS: usize = 200;
-/// Longer than anything here takes on the slowest machine.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time limit for every wait, longer than anything here takes on a slow machine.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A connection that registers.
+/// A client connection to the list service.
 struct Caller(BufReader<TcpStream>);
 
 impl Caller {
-    fn to(at: SocketAddr) -> Caller {
+    fn connect(at: SocketAddr) -> Caller {
         let stream = TcpStream::connect(at).unwrap();
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Caller(BufReader::new(stream))
     }
 
@@ -35,7 +35,7 @@
         let mut length = 0;
         loop {
             let mut line = String::new();
-            assert!(self.0.read_line(&mut line).unwrap() > 0, "the service has closed");
+            assert!(self.0.read_line(&mut line).unwrap() > 0, "the service has closed the connection");
             if let Some(n) = line.to_ascii_lowercase().strip_prefix("content-length:") {
                 length = n.trim().parse().unwrap();
             }
@@ -67,22 +67,22 @@
         serde_json::from_str(&answer).unwrap_or_else(|_| panic!("{answer}"))
     }
 
-    fn figure(&mut self, name: &str) -> u64 {
+    fn metric(&mut self, name: &str) -> u64 {
         let text = self.call("GET /discovery/figures HTTP/1.1\r\nHost: x\r\n\r\n");
         let value = text.lines().find_map(|line| line.strip_prefix(&format!("discovery_{name} ")));
         value.unwrap_or_else(|| panic!("no {name} in {text}")).parse().unwrap()
     }
 }
 
-/// What one gatekeeper has of the list.
+/// The state of the list at one gatekeeper.
 #[derive(Default)]
-struct Has {
+struct FollowedList {
     rev: u64,
     list: BTreeMap<String, u64>,
 }
 
-impl Has {
-    fn take(&mut self, list: &HostList) {
+impl FollowedList {
+    fn apply(&mut self, list: &HostList) {
         assert!(list.rev > self.rev, "version {} after {}", list.rev, self.rev);
         self.rev = list.rev;
         if list.all {
@@ -98,81 +98,83 @@
     }
 }
 
-type Fleet = Vec<Rc<RefCell<Has>>>;
+type Fleet = Vec<Rc<RefCell<FollowedList>>>;
 
-async fn all(fleet: &Fleet, what: &str, has: impl Fn(&Has) -> bool) -> Duration {
+/// Waits until a condition holds at all gatekeepers; returns the time that it took.
+async fn wait_for_all(fleet: &Fleet, what: &str, has: impl Fn(&FollowedList) -> bool) -> Duration {
     let begun = Instant::now();
     loop {
         if fleet.iter().all(|one| has(&one.borrow())) {
             return begun.elapsed();
         }
-        assert!(begun.elapsed() < PATIENCE, "never: {what}");
+        assert!(begun.elapsed() < TIMEOUT, "never: {what}");
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
 #[test]
-fn a_fleet_is_told_at_once_and_comes_back_spread_over_seconds() {
+fn changes_reach_all_gatekeepers_and_reconnections_are_spread_over_seconds() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        let folder = crate::peers::folder();
-        let mut service = Service::writer(&folder, &[]);
-        let mut caller = Caller::to(service.addr);
+        let dir = crate::peers::temp_dir();
+        let mut service = Service::writer(&dir, &[]);
+        let mut caller = Caller::connect(service.addr);
         for n in 0..SERVERS {
             caller.register(&format!("s{n}"), 1);
         }
         let mut fleet = Fleet::new();
-        let mut moves = Vec::new();
+        let mut senders = Vec::new();
         for seed in 0..GATEKEEPERS {
-            let has = Rc::new(RefCell::new(Has::default()));
-            let pace =
+            let has = Rc::new(RefCell::new(FollowedList::default()));
+            let timing =
                 RequestTiming::for_shared_service(GATEKEEPERS, Duration::from_secs(10), u64::from(seed));
             let sources = Sources::new(vec![service.addr], &HostList::default());
-            let follower = Follower::new(sources, pace, ListStatus::new());
-            let (sender, places) = watch::channel(vec![service.addr]);
+            let follower = Follower::new(sources, timing, ListStatus::new());
+            let (sender, addresses) = watch::channel(vec![service.addr]);
             let one = has.clone();
-            spawn_local(follower.follow(places, move |list, _| one.borrow_mut().take(list)));
-            moves.push(sender);
+            spawn_local(follower.follow(addresses, move |list, _| one.borrow_mut().apply(list)));
+            senders.push(sender);
             fleet.push(has);
         }
-        all(&fleet, "the whole list", |has| has.list.len() == SERVERS).await;
+        wait_for_all(&fleet, "the whole list", |has| has.list.len() == SERVERS).await;
         let mut spread = Vec::new();
         for boot_ms in 2..12 {
             caller.register("s0", boot_ms);
-            spread.push(all(&fleet, "a change", |has| has.list["s0"] == boot_ms).await);
+            spread.push(wait_for_all(&fleet, "a change", |has| has.list["s0"] == boot_ms).await);
         }
-        println!("from the answer to a change to the last of {GATEKEEPERS} told: {spread:?}");
+        println!("time from a change's response until {GATEKEEPERS} gatekeepers have it: {spread:?}");
         service.kill();
         tokio::time::sleep(Duration::from_millis(300)).await;
-        assert!(fleet.iter().all(|one| one.borrow().list.len() == SERVERS), "the last list stays");
+        assert!(fleet.iter().all(|one| one.borrow().list.len() == SERVERS), "the last list is kept");
         service.restart(&[]);
-        // Calls are counted by the service itself, in each second after the break.
-        let mut caller = Caller::to(service.addr);
+        // The service itself counts the calls in each second after the restart.
+        let mut caller = Caller::connect(service.addr);
         let (begun, mut counts) = (Instant::now(), vec![0]);
-        while caller.figure("watches") < u64::from(GATEKEEPERS) {
-            assert!(begun.elapsed() < PATIENCE, "not all come back: {counts:?}");
+        while caller.metric("watches") < u64::from(GATEKEEPERS) {
+            assert!(begun.elapsed() < TIMEOUT, "not all reconnect: {counts:?}");
             tokio::time::sleep(Duration::from_secs(1)).await;
-            counts.push(caller.figure("list_calls"));
+            counts.push(caller.metric("list_calls"));
         }
         let calls: Vec<u64> = counts.windows(2).map(|pair| pair[1] - pair[0]).collect();
         println!("calls in each second after {GATEKEEPERS} watches broke: {calls:?}");
-        assert!(calls.iter().all(|n| *n <= u64::from(GATEKEEPERS) / 2), "in step: {calls:?}");
+        assert!(calls.iter().all(|n| *n <= u64::from(GATEKEEPERS) / 2), "calls are synchronized: {calls:?}");
         assert!(calls.iter().sum::<u64>() <= 2 * u64::from(GATEKEEPERS), "{calls:?}");
         caller.register("late", 1);
-        all(&fleet, "a change after it", |has| has.list.len() == SERVERS + 1).await;
+        wait_for_all(&fleet, "a change after it", |has| has.list.len() == SERVERS + 1).await;
     });
 }
 
-/// Measures; too long for each run: `cargo test --release --test discovery -- --ignored --nocapture`.
+/// A measurement, too long for the regular test run: `cargo test --release --test discovery -- --ignored
+/// --nocapture`.
 #[test]
 #[ignore]
 fn memory_stays_flat_over_100_000_changes() {
     const CHANGES: u64 = 100_000;
     const CALLERS: u64 = 32;
-    let folder = crate::peers::folder();
-    let service = Service::writer(&folder, &[]);
+    let dir = crate::peers::temp_dir();
+    let service = Service::writer(&dir, &[]);
     let addr = service.addr;
-    let mut watchers: Vec<Caller> = (0..20).map(|_| Caller::to(addr)).collect();
+    let mut watchers: Vec<Caller> = (0..20).map(|_| Caller::connect(addr)).collect();
     for (n, watcher) in watchers.iter_mut().enumerate() {
         let stream = watcher.0.get_mut();
         stream.write_all(b"GET /discovery/hosts?stream=1&index=0 HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
@@ -187,7 +189,7 @@
         let callers: Vec<_> = (0..CALLERS)
             .map(|caller| {
                 thread::spawn(move || {
-                    let mut it = Caller::to(addr);
+                    let mut it = Caller::connect(addr);
                     let each = CHANGES / 10 / CALLERS;
                     for n in 0..each {
                         it.register(&format!("s{}", caller * 7 + n % 7), part * each + n + 1);
--- a/tests/instructions.rs
+++ b/tests/instructions.rs
@@ -22,18 +22,19 @@
     let servers: Vec<Server> = servers.collect();
     let listed: Vec<_> = servers.iter().enumerate().map(|(n, s)| s.listed(&format!("w{n}"), "up")).collect();
     discovery.list(2, true, &listed);
-    let folder = folder();
-    let counts = folder.path("callgrind.out");
+    let dir = temp_dir();
+    let counts = dir.path("callgrind.out");
     let program = std::env::var("GATEKEEPER").unwrap_or(env!("CARGO_BIN_EXE_granitelead").into());
     let mut command = Command::new("valgrind");
     command.args(["--tool=callgrind", "--quiet", &format!("--callgrind-out-file={}", counts.display())]);
     command.arg(program);
-    let mut gatekeeper = Gatekeeper::start_by(command, folder, &config(discovery.addr, &[])).until_ready();
+    let mut gatekeeper =
+        Gatekeeper::start_with_command(command, dir, &config(discovery.addr, &[])).until_ready();
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| gatekeeper.connect()).collect();
     for _ in 0..requests {
         clients.iter_mut().for_each(|client| client.send(&pull().text()));
         for client in &mut clients {
-            assert_eq!(client.answer().expect("a response").status(), 200);
+            assert_eq!(client.response().expect("a response").status(), 200);
         }
     }
     gatekeeper.terminate();
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -13,19 +13,19 @@
 fn start_gatekeeper(server: &Server) -> (Gatekeeper, Discovery) {
     let discovery = Discovery::start();
     discovery.list(2, true, &[server.listed("w0", "up")]);
-    (Gatekeeper::ready(&config_with_door(discovery.addr)), discovery)
+    (Gatekeeper::ready(&config_with_admin(discovery.addr)), discovery)
 }
 
 #[test]
 fn commands_are_answered_beside_silent_connections_and_invalid_ones_rejected() {
     let server = Server::start(ok("served"));
     let (gatekeeper, _discovery) = start_gatekeeper(&server);
-    let silent: Vec<_> = (0..40).map(|_| gatekeeper.knock()).collect();
+    let silent: Vec<_> = (0..40).map(|_| gatekeeper.connect_admin()).collect();
     for command in ["readyz", "readyz"] {
         assert!(gatekeeper.call(command).starts_with("YES"));
     }
     for bad in ["", "open sesame", "evacuate now", &"x".repeat(10_000), "\u{0}"] {
-        let mut stream = gatekeeper.knock();
+        let mut stream = gatekeeper.connect_admin();
         // The reply may come before a long line has been read.
         let _ = stream.write_all(format!("{bad}\n").as_bytes());
         let mut answer = String::new();
@@ -35,7 +35,7 @@
         }
     }
     drop(silent);
-    assert_eq!(gatekeeper.ask(UP).status(), 200);
+    assert_eq!(gatekeeper.exchange(UP).status(), 200);
 }
 
 /// A client reads late and sends more meanwhile. If the gatekeeper closed the connection too early, the TCP
@@ -52,7 +52,7 @@
         client.try_send("GET / HTTP/1.1\r\n");
         std::thread::sleep(Duration::from_millis(3));
     }
-    let answer = client.answer().expect("an answer");
+    let answer = client.response().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection"), answer.body.len()), (200, Some("close"), SIZE));
 }
 
@@ -61,25 +61,25 @@
     let server = Server::start(ok("served"));
     let (gatekeeper, _discovery) = start_gatekeeper(&server);
     let mut idle = gatekeeper.connect();
-    assert_eq!(idle.ask(&pull().text()).body, "served");
+    assert_eq!(idle.exchange(&pull().text()).body, "served");
     let mut used = gatekeeper.connect();
-    assert_eq!(used.ask(&pull().text()).body, "served");
+    assert_eq!(used.exchange(&pull().text()).body, "served");
     assert!(gatekeeper.call("evacuate").starts_with("YES"));
-    assert_eq!(gatekeeper.ask(UP).status(), 503);
+    assert_eq!(gatekeeper.exchange(UP).status(), 503);
     assert!(gatekeeper.call("readyz").starts_with("YES"), "the process still accepts connections");
     let begun = Instant::now();
     for mut client in [used, gatekeeper.connect()] {
-        let answer = client.ask(&pull().text());
+        let answer = client.exchange(&pull().text());
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-        assert!(client.answer().is_none(), "kept open");
+        assert!(client.response().is_none(), "kept open");
     }
-    assert!(idle.answer().is_none());
+    assert!(idle.response().is_none());
     assert!(begun.elapsed() < Duration::from_secs(4), "closed after {:?}", begun.elapsed());
     assert!(gatekeeper.call("activate").starts_with("YES"));
-    assert_eq!(gatekeeper.ask(UP).status(), 200);
+    assert_eq!(gatekeeper.exchange(UP).status(), 200);
     let mut client = gatekeeper.connect();
     for _ in 0..2 {
-        let answer = client.ask(&pull().text());
+        let answer = client.exchange(&pull().text());
         assert_eq!((answer.status(), answer.header("connection")), (200, None));
     }
 }
@@ -95,7 +95,7 @@
 /// Waits until a metric has a value. A request is counted at about the time its client reads the response, so
 /// the metric may lag behind.
 fn wait_for_metric(gatekeeper: &Gatekeeper, name: &str, value: u64) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while metric(gatekeeper, name) != value {
         assert!(Instant::now() < until, "{name} {}", metric(gatekeeper, name));
         std::thread::sleep(Duration::from_millis(10));
@@ -110,14 +110,14 @@
         assert_eq!(metric(&gatekeeper, &format!("app_{name}")), 0);
     }
     for _ in 0..3 {
-        assert_eq!(gatekeeper.ask(&pull().text()).status(), 200);
+        assert_eq!(gatekeeper.exchange(&pull().text()).status(), 200);
     }
-    let many = Ask { tier: "small", terms: "units=20,spread=1,first=0".into(), ..swap() };
+    let many = RequestSpec { tier: "small", terms: "units=20,spread=1,first=0".into(), ..swap() };
     for status in [200, 429] {
-        assert_eq!(gatekeeper.ask(&many.text()).status(), status);
+        assert_eq!(gatekeeper.exchange(&many.text()).status(), status);
     }
     server.set(Reply::Answer("500 Oops".into(), "no".into()));
-    assert_eq!(gatekeeper.ask(&push().text()).status(), 502);
+    assert_eq!(gatekeeper.exchange(&push().text()).status(), 502);
     server.set(Reply::Silence);
     let mut waiting = gatekeeper.connect();
     waiting.send(&push().text());
@@ -152,39 +152,40 @@
     let (server, discovery) = (Server::start(ok("served")), Discovery::start());
     discovery.list(2, true, &[server.listed("w0", "up")]);
     let before = std::process::Command::new(std::env::var("GATEKEEPER").expect("the variable GATEKEEPER"));
-    let old = Gatekeeper::start_by(before, folder(), &config_with_door(discovery.addr)).until_ready();
+    let old =
+        Gatekeeper::start_with_command(before, temp_dir(), &config_with_admin(discovery.addr)).until_ready();
     check_takeover(old, &discovery);
 }
 
 /// Upgrades a gatekeeper that has one server and checks what its successor takes over.
 fn check_takeover(mut old: Gatekeeper, discovery: &Discovery) {
-    let many = Ask { tier: "small", terms: "units=20,spread=1,first=0".into(), ..swap() };
+    let many = RequestSpec { tier: "small", terms: "units=20,spread=1,first=0".into(), ..swap() };
     let mut kept = old.connect();
-    assert_eq!(kept.ask(&many.text()).status(), 200);
-    let new = old.upgrade(&config_with_door(discovery.addr));
-    new.wait_for_yes();
+    assert_eq!(kept.exchange(&many.text()).status(), 200);
+    let new = old.upgrade(&config_with_admin(discovery.addr));
+    new.wait_for_readyz();
     assert!(old.call("readyz").starts_with("NO"), "two processes report that they are ready");
     // Requests that the old process admitted count against the quota at the new one.
-    assert_eq!(new.ask(&many.text()).status(), 429);
-    assert_eq!(new.ask(&pull().text()).status(), 200);
+    assert_eq!(new.exchange(&many.text()).status(), 429);
+    assert_eq!(new.exchange(&pull().text()).status(), 200);
     assert_eq!(metric(&new, "app_success{tier=\"pull\"}"), 1);
-    let answer = kept.ask(&pull().text());
+    let answer = kept.exchange(&pull().text());
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert_eq!(old.exit_code(), Some(0), "the old process exits without a signal");
-    assert_eq!(new.ask(&pull().text()).status(), 200);
+    assert_eq!(new.exchange(&pull().text()).status(), 200);
 }
 
 #[test]
 fn connections_in_the_accept_queue_survive_an_upgrade() {
     let server = Server::start(ok("served"));
     let (old, discovery) = start_gatekeeper(&server);
-    let new = old.upgrade(&config_with_door(discovery.addr));
+    let new = old.upgrade(&config_with_admin(discovery.addr));
     let mut codes = Vec::new();
     while !new.call("readyz").starts_with("YES") {
-        codes.push(new.ask(&pull().text()).status());
+        codes.push(new.exchange(&pull().text()).status());
     }
     old.terminate();
-    codes.extend((0..50).map(|_| new.ask(&pull().text()).status()));
+    codes.extend((0..50).map(|_| new.exchange(&pull().text()).status()));
     assert!(codes.iter().all(|code| *code == 200), "{codes:?}");
 }
 
@@ -194,10 +195,10 @@
     let (old, discovery) = start_gatekeeper(&server);
     // The new process dies before it is ready: it never receives a server list.
     let silent_discovery = Discovery::start();
-    silent_discovery.speaks.store(0, std::sync::atomic::Ordering::SeqCst);
-    let dead = old.upgrade(&config_with_door(silent_discovery.addr));
+    silent_discovery.enabled.store(0, std::sync::atomic::Ordering::SeqCst);
+    let dead = old.upgrade(&config_with_admin(silent_discovery.addr));
     assert!(dead.call("readyz").starts_with("NO"));
-    assert_eq!(old.ask(&pull().text()).status(), 200);
+    assert_eq!(old.exchange(&pull().text()).status(), 200);
     dead.kill();
     // The new process dies after it has taken over, while the old one still has a client.
     let mut kept = old.connect();
@@ -205,13 +206,13 @@
     kept.send(&push().text());
     server.request();
     server.request();
-    let dead = old.upgrade(&config_with_door(discovery.addr));
-    dead.wait_for_yes();
+    let dead = old.upgrade(&config_with_admin(discovery.addr));
+    dead.wait_for_readyz();
     dead.kill();
     server.set(ok("served"));
-    old.wait_for_yes();
-    assert_eq!(old.ask(&pull().text()).status(), 200);
-    assert_eq!(old.ask(UP).status(), 200);
+    old.wait_for_readyz();
+    assert_eq!(old.exchange(&pull().text()).status(), 200);
+    assert_eq!(old.exchange(UP).status(), 200);
 }
 
 #[test]
@@ -221,8 +222,8 @@
     let discovery = Discovery::start();
     discovery.list(2, true, &[server.listed("w0", "up")]);
     for how in ["stale", "silent", "nonsense"] {
-        let folder = folder();
-        let socket = folder.path("hingestage.sock");
+        let dir = temp_dir();
+        let socket = dir.path("hingestage.sock");
         let peer = match how {
             "stale" => {
                 std::fs::write(&socket, "what a dead process left").unwrap();
@@ -238,9 +239,9 @@
                 }
             });
         }
-        let gatekeeper = Gatekeeper::start_in(folder, &config_with_door(discovery.addr));
-        gatekeeper.wait_for_yes();
-        assert_eq!(gatekeeper.ask(&pull().text()).status(), 200, "{how}");
+        let gatekeeper = Gatekeeper::start_in(dir, &config_with_admin(discovery.addr));
+        gatekeeper.wait_for_readyz();
+        assert_eq!(gatekeeper.exchange(&pull().text()).status(), 200, "{how}");
     }
 }
 
@@ -250,8 +251,9 @@
     let discovery = Discovery::start();
     let listed = [w0.listed("w0", "up"), w1.listed("w1", "up")];
     discovery.list(2, true, &listed);
-    let old = Gatekeeper::ready(&config_with_door(discovery.addr));
-    let send_requests = |gatekeeper: &Gatekeeper| (0..20).for_each(|_| drop(gatekeeper.ask(&pull().text())));
+    let old = Gatekeeper::ready(&config_with_admin(discovery.addr));
+    let send_requests =
+        |gatekeeper: &Gatekeeper| (0..20).for_each(|_| drop(gatekeeper.exchange(&pull().text())));
     send_requests(&old);
     assert!(w0.requests() > 0);
     assert!(old.call("exclude w9").starts_with("NO"), "never listed");
@@ -262,14 +264,14 @@
     assert_eq!(metric(&old, "app_hosts_down"), 1);
     discovery.list(3, true, &listed);
     send_requests(&old);
-    let new = old.upgrade(&config_with_door(discovery.addr));
-    new.wait_for_yes();
+    let new = old.upgrade(&config_with_admin(discovery.addr));
+    new.wait_for_readyz();
     send_requests(&new);
     assert_eq!(w0.requests(), 0);
     assert!(w1.requests() >= 40);
     assert_eq!(metric(&new, "app_hosts_down"), 1);
     assert!(new.call("include w0").starts_with("YES"));
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while w0.requests() == 0 {
         assert!(Instant::now() < until, "not used again");
         send_requests(&new);
@@ -283,10 +285,10 @@
     let server = Server::start(ok("served"));
     let discovery = Discovery::start();
     discovery.list(2, true, &[server.listed("w0", "up")]);
-    let gatekeeper = Gatekeeper::start_in(deep_folder(), &config_with_door(discovery.addr));
-    gatekeeper.wait_for_yes();
-    assert_eq!(gatekeeper.ask(UP).status(), 200);
-    assert_eq!(gatekeeper.ask(&pull().text()).body, "served");
+    let gatekeeper = Gatekeeper::start_in(long_temp_dir(), &config_with_admin(discovery.addr));
+    gatekeeper.wait_for_readyz();
+    assert_eq!(gatekeeper.exchange(UP).status(), 200);
+    assert_eq!(gatekeeper.exchange(&pull().text()).body, "served");
     assert!(gatekeeper.call("evacuate").starts_with("YES"));
     assert!(gatekeeper.call("telemetry").contains("app_hosts_listed 1"));
 }
@@ -301,7 +303,7 @@
     let peers: Vec<String> = sockets.iter().map(|socket| socket.local_addr().unwrap().to_string()).collect();
     drop(sockets);
     let start = |me: usize| {
-        let mut config = config_with_door(discovery.addr);
+        let mut config = config_with_admin(discovery.addr);
         config["peer_listen"] = peers[me].as_str().into();
         config["peers"] = peers.clone().into();
         config["membership"] = serde_json::json!({"fleet": "f"});
@@ -313,7 +315,7 @@
         ["alive", "dead"].map(|state| metric(gatekeeper, &format!("app_members{{state=\"{state}\"}}")))
     };
     let until = |what: &str, holds: &dyn Fn() -> bool| {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         while !holds() {
             assert!(Instant::now() < until, "never: {what}");
             std::thread::sleep(Duration::from_millis(50));
@@ -333,6 +335,6 @@
         metric(&zero, "app_peer_datagrams{what=\"stranger\"}") == 1
     });
     // Without `membership` in the configuration, its metrics are absent.
-    let alone = Gatekeeper::ready(&config_with_door(discovery.addr));
+    let alone = Gatekeeper::ready(&config_with_admin(discovery.addr));
     assert!(!alone.call("telemetry").contains("app_members"));
 }
--- a/tests/peers/list.rs
+++ b/tests/peers/list.rs
@@ -1,12 +1,12 @@
-//! The list service as a process.
+//! Runs the list service as a process.
 
-use super::Folder;
+use super::TempDir;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
 use std::thread;
 
-/// A list service or a mirror; ended with the test.
+/// A list service or mirror process, killed on drop.
 pub struct Service {
     child: Child,
     pub addr: SocketAddr,
@@ -18,9 +18,9 @@
         Service::start_at("127.0.0.1:0", args.iter().map(|arg| (*arg).to_owned()).collect())
     }
 
-    /// One with a folder of its own, that begins at once.
-    pub fn writer(folder: &Folder, more: &[&str]) -> Service {
-        let data = folder.path("list");
+    /// Starts a list service with a new data directory below `dir`.
+    pub fn writer(dir: &TempDir, more: &[&str]) -> Service {
+        let data = dir.path("list");
         Service::start(&[&["--data", data.to_str().unwrap(), "--new"], more].concat())
     }
 
@@ -38,7 +38,7 @@
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let addr = loop {
             let mut line = String::new();
-            assert!(log.read_line(&mut line).unwrap() > 0, "the service ends without a word where it is");
+            assert!(log.read_line(&mut line).unwrap() > 0, "the service exits without logging its address");
             if let Some((_, addr)) = line.trim().split_once("listening on ") {
                 break addr.parse().unwrap();
             }
@@ -52,7 +52,7 @@
         let _ = self.child.wait();
     }
 
-    /// Starts it again where it was, without `--new`.
+    /// Restarts the process on the same address, without `--new`.
     pub fn restart(&mut self, more: &[&str]) {
         self.kill();
         let mut args = self.args.clone();
@@ -66,7 +66,7 @@
         assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
     }
 
-    /// The memory that the process uses now, in kB.
+    /// The resident memory of the process, in kB.
     pub fn memory(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -1,4 +1,5 @@
-//! The real program, and small peers for it on loopback sockets: servers, discovery, counter, client.
+//! Runs the gatekeeper as a process, with mock peers on loopback sockets: servers, discovery, counter and
+//! clients.
 #![allow(dead_code)]
 
 pub mod list;
@@ -13,18 +14,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes on the slowest machine: running into it is a failure.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for every wait, longer than anything here takes on a slow machine. Reaching it is a failure.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 pub const CLIENT: &str = "00000000b4d65521";
 
 /// What a server does with a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// Answers: status line and headers without framing, and the body.
+    /// Sends a response: status line and headers without framing, and the body.
     Answer(String, String),
-    /// These bytes, then the connection ends.
+    /// Sends these bytes and closes the connection.
     RawThenClose(String),
-    /// Nothing, for as long as the connection stays open.
+    /// Sends nothing for as long as the connection stays open.
     Silence,
 }
 
@@ -32,7 +33,7 @@
     Reply::Answer("200 OK".into(), body.into())
 }
 
-/// A message as a peer read it.
+/// An HTTP message as a peer read it.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub first_line: String,
@@ -49,7 +50,7 @@
         self.first_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    /// Reads one; `None` where the connection ends first.
+    /// Reads a message; `None` if the connection ends first.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut line = || {
             let mut text = String::new();
@@ -71,16 +72,16 @@
     }
 }
 
-/// Something that happened at a server.
+/// An event at a mock server.
 #[derive(Clone, Debug)]
-pub enum Seen {
+pub enum ServerEvent {
     Request { conn: usize, message: Message },
     Closed { conn: usize },
 }
 
 pub struct Server {
     pub addr: SocketAddr,
-    seen: Receiver<Seen>,
+    seen: Receiver<ServerEvent>,
     reply: Arc<Mutex<Reply>>,
 }
 
@@ -88,22 +89,22 @@
     pub fn start(reply: Reply) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let (tell, seen) = channel();
+        let (events, seen) = channel();
         let reply = Arc::new(Mutex::new(reply));
         let shared = reply.clone();
         thread::spawn(move || {
             for (conn, stream) in listener.incoming().flatten().enumerate() {
-                let (tell, reply) = (tell.clone(), shared.clone());
-                thread::spawn(move || Server::serve(conn, stream, &tell, &reply));
+                let (events, reply) = (events.clone(), shared.clone());
+                thread::spawn(move || Server::serve(conn, stream, &events, &reply));
             }
         });
         Server { addr, seen, reply }
     }
 
-    fn serve(conn: usize, stream: TcpStream, tell: &Sender<Seen>, reply: &Mutex<Reply>) {
+    fn serve(conn: usize, stream: TcpStream, events: &Sender<ServerEvent>, reply: &Mutex<Reply>) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(message) = Message::read(&mut reader) {
-            let _ = tell.send(Seen::Request { conn, message });
+            let _ = events.send(ServerEvent::Request { conn, message });
             let reply = reply.lock().unwrap().clone();
             match reply {
                 Reply::Answer(head, body) => {
@@ -120,7 +121,7 @@
                 }
             }
         }
-        let _ = tell.send(Seen::Closed { conn });
+        let _ = events.send(ServerEvent::Closed { conn });
         let _ = stream.shutdown(Shutdown::Both);
     }
 
@@ -128,26 +129,26 @@
         *self.reply.lock().unwrap() = reply;
     }
 
-    pub fn next(&self) -> Seen {
-        self.seen.recv_timeout(PATIENCE).expect("nothing came to the server")
+    pub fn next(&self) -> ServerEvent {
+        self.seen.recv_timeout(TIMEOUT).expect("no event at the server")
     }
 
-    /// The next request, passing over connections that end.
+    /// The next request; skips closed connections.
     pub fn request(&self) -> Message {
         loop {
-            if let Seen::Request { message, .. } = self.next() {
+            if let ServerEvent::Request { message, .. } = self.next() {
                 return message;
             }
         }
     }
 
-    /// All that has happened so far and was not asked for yet.
-    pub fn rest(&self) -> Vec<Seen> {
+    /// Removes and returns all pending events.
+    pub fn rest(&self) -> Vec<ServerEvent> {
         self.seen.try_iter().collect()
     }
 
     pub fn requests(&self) -> usize {
-        self.rest().iter().filter(|seen| matches!(seen, Seen::Request { .. })).count()
+        self.rest().iter().filter(|seen| matches!(seen, ServerEvent::Request { .. })).count()
     }
 
     pub fn listed(&self, uid: &str, state: &str) -> Value {
@@ -156,13 +157,13 @@
     }
 }
 
-/// The list service: each watch gets the lines pushed from its start on, and a sign of life.
+/// A mock list service: each watch gets the lines pushed since it started, and keep-alive lines.
 pub struct Discovery {
     pub addr: SocketAddr,
     lines: Arc<Mutex<Vec<String>>>,
     pub watches: Arc<AtomicUsize>,
-    /// Whether it says anything at all.
-    pub speaks: Arc<AtomicUsize>,
+    /// Whether it sends anything at all: 1 or 0.
+    pub enabled: Arc<AtomicUsize>,
 }
 
 impl Discovery {
@@ -170,34 +171,34 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
         let (lines, watches) = (Arc::new(Mutex::new(Vec::<String>::new())), Arc::new(AtomicUsize::new(0)));
-        let speaks = Arc::new(AtomicUsize::new(1));
-        let (all, count, voice) = (lines.clone(), watches.clone(), speaks.clone());
+        let enabled = Arc::new(AtomicUsize::new(1));
+        let (all, count, shared) = (lines.clone(), watches.clone(), enabled.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (all, count, voice) = (all.clone(), count.clone(), voice.clone());
-                thread::spawn(move || Discovery::serve(stream, &all, &count, &voice));
+                let (all, count, enabled) = (all.clone(), count.clone(), shared.clone());
+                thread::spawn(move || Discovery::serve(stream, &all, &count, &enabled));
             }
         });
-        Discovery { addr, lines, watches, speaks }
+        Discovery { addr, lines, watches, enabled }
     }
 
-    fn serve(stream: TcpStream, lines: &Mutex<Vec<String>>, watches: &AtomicUsize, speaks: &AtomicUsize) {
+    fn serve(stream: TcpStream, lines: &Mutex<Vec<String>>, watches: &AtomicUsize, enabled: &AtomicUsize) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         if Message::read(&mut reader).is_none() {
             return;
         }
-        // A watch that begins later gets the last list whole, as after a long gap.
-        let mut told = lines.lock().unwrap().len().saturating_sub(1);
+        // A watch that starts later gets the last list in full, as after a long gap.
+        let mut sent = lines.lock().unwrap().len().saturating_sub(1);
         watches.fetch_add(1, Ordering::SeqCst);
         let mut head = Some("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned());
         for turn in 0u64.. {
-            if speaks.load(Ordering::SeqCst) == 1 {
+            if enabled.load(Ordering::SeqCst) == 1 {
                 let mut text = head.take().unwrap_or_default();
                 let all = lines.lock().unwrap();
-                for line in &all[told..] {
+                for line in &all[sent..] {
                     text.push_str(&format!("{:x}\r\n{line}\n\r\n", line.len() + 1));
                 }
-                told = all.len();
+                sent = all.len();
                 if turn % 20 == 0 {
                     text.push_str("1\r\n\n\r\n");
                 }
@@ -210,17 +211,17 @@
         }
     }
 
-    pub fn say(&self, line: String) {
+    pub fn push_line(&self, line: String) {
         self.lines.lock().unwrap().push(line);
     }
 
     pub fn list(&self, rev: u64, all: bool, targets: &[Value]) {
-        self.say(json!({"rev": rev, "all": all, "targets": targets}).to_string());
+        self.push_line(json!({"rev": rev, "all": all, "targets": targets}).to_string());
     }
 }
 
-/// The counter service: `answer` gives the reply to a call by its name, connection and number; `None` ends
-/// the connection.
+/// A mock counter service: `answer` returns the reply to a call by counter name, connection and call number;
+/// `None` closes the connection.
 pub struct Counter {
     pub addr: SocketAddr,
     pub calls: Receiver<(usize, String)>,
@@ -230,18 +231,18 @@
     pub fn start(answer: impl Fn(&str, usize, usize) -> Option<String> + Send + Sync + 'static) -> Counter {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let (tell, calls) = channel();
+        let (sender, calls) = channel();
         thread::spawn(move || {
             let mut number = 0;
             for (conn, stream) in listener.incoming().flatten().enumerate() {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
-                while let Some(words) = Counter::read(&mut reader) {
-                    let text = if words[0] == "PING" {
+                while let Some(arguments) = Counter::read(&mut reader) {
+                    let text = if arguments[0] == "PING" {
                         Some("+PONG\r\n".to_owned())
                     } else {
-                        let _ = tell.send((conn, words[1].clone()));
+                        let _ = sender.send((conn, arguments[1].clone()));
                         number += 1;
-                        answer(&words[1], conn, number - 1)
+                        answer(&arguments[1], conn, number - 1)
                     };
                     let Some(text) = text else { break };
                     if (&stream).write_all(text.as_bytes()).is_err() {
@@ -259,8 +260,8 @@
             let mut text = String::new();
             (from.read_line(&mut text).ok()? > 0).then(|| text.trim_end().to_owned())
         };
-        let words: usize = line()?.strip_prefix('*')?.parse().ok()?;
-        (0..words).map(|_| line().and_then(|_| line())).collect()
+        let arguments: usize = line()?.strip_prefix('*')?.parse().ok()?;
+        (0..arguments).map(|_| line().and_then(|_| line())).collect()
     }
 }
 
@@ -269,14 +270,14 @@
     format!("${}\r\n{text}\r\n", text.len())
 }
 
-/// That, with a door for operators.
-pub fn config_with_door(discovery: SocketAddr) -> Value {
+/// The configuration of [`config`] with an admin socket.
+pub fn config_with_admin(discovery: SocketAddr) -> Value {
     let mut config = config(discovery, &[]);
     config["admin_addr"] = "127.0.0.1:0".into();
     config
 }
 
-/// The configuration of a lone gatekeeper with three classes and two plans.
+/// The configuration of a single gatekeeper with three request classes and two plans.
 pub fn config(discovery: SocketAddr, known: &[Value]) -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
@@ -300,86 +301,87 @@
     })
 }
 
-/// The program under test; ended with the test.
+/// The gatekeeper process under test, killed on drop.
 pub struct Gatekeeper {
     child: Child,
     pub addr: SocketAddr,
-    /// The operators' door, where the configuration has one.
-    pub door: Option<SocketAddr>,
-    folder: Arc<Folder>,
+    /// The address of the admin socket, if the configuration has one.
+    pub admin_addr: Option<SocketAddr>,
+    dir: Arc<TempDir>,
 }
 
-pub struct Folder(std::path::PathBuf);
+/// A temporary directory, removed on drop.
+pub struct TempDir(std::path::PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A folder of its own, empty.
-pub fn folder() -> Arc<Folder> {
-    folder_named("")
+/// Creates an empty temporary directory.
+pub fn temp_dir() -> Arc<TempDir> {
+    temp_dir_named("")
 }
 
-/// A folder whose path is longer than that of any Unix socket may be.
-pub fn deep_folder() -> Arc<Folder> {
-    folder_named(&"-deep".repeat(30))
+/// Creates a temporary directory whose path is too long for a Unix socket.
+pub fn long_temp_dir() -> Arc<TempDir> {
+    temp_dir_named(&"-deep".repeat(30))
 }
 
-fn folder_named(end: &str) -> Arc<Folder> {
+fn temp_dir_named(end: &str) -> Arc<TempDir> {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
     let name = format!("granitelead-{}-{number}{end}", std::process::id());
-    let folder = Folder(std::env::temp_dir().join(name));
-    std::fs::create_dir_all(&folder.0).unwrap();
-    Arc::new(folder)
+    let dir = TempDir(std::env::temp_dir().join(name));
+    std::fs::create_dir_all(&dir.0).unwrap();
+    Arc::new(dir)
 }
 
-impl Folder {
+impl TempDir {
     pub fn path(&self, name: &str) -> std::path::PathBuf {
         self.0.join(name)
     }
 }
 
-fn spawn(config: &str, folder: &Folder) -> Child {
-    spawn_by(Command::new(env!("CARGO_BIN_EXE_granitelead")), config, folder)
+fn spawn(config: &str, dir: &TempDir) -> Child {
+    spawn_command(Command::new(env!("CARGO_BIN_EXE_granitelead")), config, dir)
 }
 
-fn spawn_by(mut command: Command, config: &str, folder: &Folder) -> Child {
-    let path = folder.0.join("config.json");
+fn spawn_command(mut command: Command, config: &str, dir: &TempDir) -> Child {
+    let path = dir.0.join("config.json");
     std::fs::write(&path, config).unwrap();
     for variable in ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_ADMIN_ADDR"] {
         command.env_remove(variable);
     }
-    command.env("RELAY_CONFIG", &path).env("TMPDIR", &folder.0).stderr(Stdio::piped()).spawn().unwrap()
+    command.env("RELAY_CONFIG", &path).env("TMPDIR", &dir.0).stderr(Stdio::piped()).spawn().unwrap()
 }
 
-/// Runs the program on a configuration that it can't take; gives exit code and standard error.
+/// Runs the program on an invalid configuration; returns its exit code and standard error.
 pub fn run_to_end(config: &str) -> (Option<i32>, String) {
-    let folder = folder();
-    let child = spawn(config, &folder);
+    let dir = temp_dir();
+    let child = spawn(config, &dir);
     let out = child.wait_with_output().unwrap();
     (out.status.code(), String::from_utf8(out.stderr).unwrap())
 }
 
 impl Gatekeeper {
     pub fn start(config: &Value) -> Gatekeeper {
-        Gatekeeper::start_in(folder(), config)
+        Gatekeeper::start_in(temp_dir(), config)
     }
 
-    /// Starts the next process of this gatekeeper beside this one, with a door of its own.
+    /// Starts a new process that takes over from this one, with its own admin socket.
     pub fn upgrade(&self, config: &Value) -> Gatekeeper {
         let mut config = config.clone();
         config["listen"] = self.addr.to_string().into();
-        Gatekeeper::start_in(self.folder.clone(), &config)
+        Gatekeeper::start_in(self.dir.clone(), &config)
     }
 
-    /// Waits until the process itself says that it takes clients.
-    pub fn wait_for_yes(&self) {
-        let until = Instant::now() + PATIENCE;
+    /// Waits until the `readyz` command reports that the process accepts clients.
+    pub fn wait_for_readyz(&self) {
+        let until = Instant::now() + TIMEOUT;
         while !self.call("readyz").starts_with("YES") {
-            assert!(Instant::now() < until, "never a yes");
+            assert!(Instant::now() < until, "never ready according to readyz");
             thread::sleep(Duration::from_millis(10));
         }
     }
@@ -389,35 +391,36 @@
         let _ = self.child.wait();
     }
 
-    pub fn start_in(folder: Arc<Folder>, config: &Value) -> Gatekeeper {
-        let child = spawn(&config.to_string(), &folder);
-        Gatekeeper::of(child, folder, config)
+    pub fn start_in(dir: Arc<TempDir>, config: &Value) -> Gatekeeper {
+        let child = spawn(&config.to_string(), &dir);
+        Gatekeeper::from_child(child, dir, config)
     }
 
-    /// One whose system gives it only so many descriptors, whatever its configuration says.
+    /// Starts a gatekeeper whose process may open only `descriptors` file descriptors, whatever its
+    /// configuration says.
     pub fn start_with_descriptors(config: &Value, descriptors: usize) -> Gatekeeper {
-        let folder = folder();
+        let dir = temp_dir();
         let mut command = Command::new("/bin/sh");
         let limited = format!("ulimit -n {descriptors}; exec \"$0\"");
         command.args(["-c", &limited, env!("CARGO_BIN_EXE_granitelead")]);
-        Gatekeeper::start_by(command, folder, config)
+        Gatekeeper::start_with_command(command, dir, config)
     }
 
-    /// One that another command runs, the program's name its last word.
-    pub fn start_by(command: Command, folder: Arc<Folder>, config: &Value) -> Gatekeeper {
-        let child = spawn_by(command, &config.to_string(), &folder);
-        Gatekeeper::of(child, folder, config)
+    /// Starts a gatekeeper through another command, whose last argument is the program's path.
+    pub fn start_with_command(command: Command, dir: Arc<TempDir>, config: &Value) -> Gatekeeper {
+        let child = spawn_command(command, &config.to_string(), &dir);
+        Gatekeeper::from_child(child, dir, config)
     }
 
-    fn of(mut child: Child, folder: Arc<Folder>, config: &Value) -> Gatekeeper {
+    fn from_child(mut child: Child, dir: Arc<TempDir>, config: &Value) -> Gatekeeper {
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        // The first lines that end with an address, which tell where it can be reached.
+        // Takes the addresses from the first log lines that end with one.
         let mut address = || -> SocketAddr {
             loop {
                 let mut line = String::new();
                 assert!(
                     log.read_line(&mut line).unwrap() > 0,
-                    "it ends without a word where it can be reached"
+                    "the process exits without logging its address"
                 );
                 if let Ok(addr) = line.trim().rsplit(' ').next().unwrap_or_default().parse() {
                     return addr;
@@ -425,10 +428,10 @@
             }
         };
         let addr = address();
-        let door = config.get("admin_addr").map(|_| address());
-        // What follows is drained, so that the program never waits for its log.
+        let admin_addr = config.get("admin_addr").map(|_| address());
+        // The rest of the log is drained, so that the process never blocks on writing it.
         thread::spawn(move || std::io::copy(&mut log, &mut std::io::stderr()));
-        Gatekeeper { child, addr, door, folder }
+        Gatekeeper { child, addr, admin_addr, dir }
     }
 
     /// Starts and waits until requests can be served.
@@ -438,73 +441,73 @@
 
     pub fn until_ready(self) -> Gatekeeper {
         let gatekeeper = self;
-        let until = Instant::now() + PATIENCE;
-        while gatekeeper.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status() != 200 {
+        let until = Instant::now() + TIMEOUT;
+        while gatekeeper.exchange("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status() != 200 {
             assert!(Instant::now() < until, "never ready");
             thread::sleep(Duration::from_millis(10));
         }
         gatekeeper
     }
 
-    /// One call at the operators' door: all that it answers.
+    /// Sends one command to the admin socket and returns the whole reply.
     pub fn call(&self, line: &str) -> String {
-        let mut door = self.knock();
-        door.write_all(format!("{line}\n").as_bytes()).unwrap();
+        let mut stream = self.connect_admin();
+        stream.write_all(format!("{line}\n").as_bytes()).unwrap();
         let mut answer = String::new();
-        door.read_to_string(&mut answer).unwrap();
+        stream.read_to_string(&mut answer).unwrap();
         answer
     }
 
-    /// A connection to the operators' door.
-    pub fn knock(&self) -> TcpStream {
-        let door = TcpStream::connect(self.door.expect("a door")).unwrap();
-        door.set_read_timeout(Some(PATIENCE)).unwrap();
-        door
+    /// Opens a connection to the admin socket.
+    pub fn connect_admin(&self) -> TcpStream {
+        let stream = TcpStream::connect(self.admin_addr.expect("an admin address")).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+        stream
     }
 
     pub fn connect(&self) -> Client {
-        self.try_connect().expect("the gatekeeper takes no connection")
+        self.try_connect().expect("the gatekeeper accepts no connection")
     }
 
     pub fn try_connect(&self) -> Option<Client> {
         let stream = TcpStream::connect(self.addr).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Some(Client { reader: BufReader::new(stream.try_clone().unwrap()), stream })
     }
 
-    /// A connection from another address of this machine.
+    /// Connects from another loopback address.
     pub fn connect_from(&self, source: [u8; 4]) -> Option<Client> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let stream = runtime.block_on(async {
             let socket = tokio::net::TcpSocket::new_v4()?;
             socket.bind((source, 0).into())?;
-            // A full queue would hold the caller up for minutes.
-            let connected = tokio::time::timeout(PATIENCE / 10, socket.connect(self.addr)).await;
+            // With a full backlog, connecting could take minutes.
+            let connected = tokio::time::timeout(TIMEOUT / 10, socket.connect(self.addr)).await;
             connected.map_err(std::io::Error::other)??.into_std()
         });
         let stream = stream.ok()?;
         stream.set_nonblocking(false).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Some(Client { reader: BufReader::new(stream.try_clone().unwrap()), stream })
     }
 
-    /// One exchange on a connection of its own.
-    pub fn ask(&self, request: &str) -> Message {
-        self.connect().ask(request)
+    /// Sends a request on a new connection and returns the response.
+    pub fn exchange(&self, request: &str) -> Message {
+        self.connect().exchange(request)
     }
 
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration file and calls for a reload.
+    /// Replaces the configuration file and triggers a reload with SIGHUP.
     pub fn reload(&self, config: &str) {
-        std::fs::write(self.folder.0.join("config.json"), config).unwrap();
+        std::fs::write(self.dir.0.join("config.json"), config).unwrap();
         self.signal("-HUP");
     }
 
-    /// The most memory that the process has used, in bytes.
-    pub fn most_memory(&self) -> usize {
+    /// The peak resident memory of the process, in bytes.
+    pub fn peak_memory(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
         line.trim().trim_end_matches(" kB").parse::<usize>().unwrap() * 1024
@@ -516,14 +519,14 @@
     }
 
     pub fn exit_code(&mut self) -> Option<i32> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         while Instant::now() < until {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
             }
             thread::sleep(Duration::from_millis(10));
         }
-        panic!("the program does not end");
+        panic!("the program does not exit");
     }
 }
 
@@ -544,40 +547,40 @@
         self.stream.write_all(request.as_bytes()).unwrap();
     }
 
-    /// Sends to a peer that may have closed.
+    /// Sends to a peer that may have closed the connection.
     pub fn try_send(&mut self, request: &str) {
         let _ = self.stream.write_all(request.as_bytes());
     }
 
-    /// The connection itself, for what is no plain exchange.
+    /// The underlying connection, for tests that read or write it directly.
     pub fn into_stream(self) -> TcpStream {
         self.stream
     }
 
-    /// Says that nothing more will be sent.
+    /// Shuts down the sending side of the connection.
     pub fn half_close(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Ends the connection with a reset. Gives nothing, in place of the client.
+    /// Closes the connection with a TCP reset. Always returns `None`.
     pub fn reset(self) -> Option<Client> {
         let _ = rustix::net::sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO));
         None
     }
 
-    /// The next answer, or none where the connection ends first.
-    pub fn answer(&mut self) -> Option<Message> {
+    /// The next response, or `None` if the connection ends first.
+    pub fn response(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
 
-    pub fn ask(&mut self, request: &str) -> Message {
+    pub fn exchange(&mut self, request: &str) -> Message {
         self.send(request);
-        self.answer().expect("the connection ended without an answer")
+        self.response().expect("the connection ended without a response")
     }
 }
 
-/// A request as clients send it.
-pub struct Ask {
+/// The parts of a client request.
+pub struct RequestSpec {
     pub head: String,
     pub class: &'static str,
     pub tier: &'static str,
@@ -590,8 +593,8 @@
 
 static IDS: AtomicUsize = AtomicUsize::new(0);
 
-pub fn pull() -> Ask {
-    Ask {
+pub fn pull() -> RequestSpec {
+    RequestSpec {
         head: "GET /pull/v2/image?tag=1".into(),
         class: "pull",
         tier: "large",
@@ -603,8 +606,8 @@
     }
 }
 
-pub fn push() -> Ask {
-    Ask {
+pub fn push() -> RequestSpec {
+    RequestSpec {
         head: "POST /push/v2/image".into(),
         class: "push",
         timeout: "2.5",
@@ -613,9 +616,9 @@
     }
 }
 
-/// A keyed one.
-pub fn swap() -> Ask {
-    Ask {
+/// A request with an idempotency key.
+pub fn swap() -> RequestSpec {
+    RequestSpec {
         head: "POST /swap/v2/image".into(),
         class: "swap",
         key: Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211"),
@@ -623,7 +626,7 @@
     }
 }
 
-impl Ask {
+impl RequestSpec {
     pub fn id(&self) -> String {
         format!("{:016x}", IDS.fetch_add(1, Ordering::SeqCst))
     }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -24,9 +24,9 @@
     ));
     let (gatekeeper, _discovery) = start_gatekeeper(&[&server]);
     let mut client = gatekeeper.connect();
-    let long = |length| Ask { body: Some("x".repeat(length)), ..push() };
+    let long = |length| RequestSpec { body: Some("x".repeat(length)), ..push() };
     for ask in [pull(), push(), swap(), long(64 * 1024), long(64 * 1024 + 1), long(1 << 20)] {
-        let answer = client.ask(&ask.text());
+        let answer = client.exchange(&ask.text());
         let seen = server.request();
         assert_eq!((answer.status(), answer.body.as_str()), (200, "whole"));
         assert_eq!(answer.header("content-type"), Some("a/b"));
@@ -43,10 +43,10 @@
     let discovery = Discovery::start();
     let gatekeeper = Gatekeeper::start(&config(discovery.addr, &[]));
     let up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
-    assert_eq!(gatekeeper.ask(up).status(), 503);
+    assert_eq!(gatekeeper.exchange(up).status(), 503);
     discovery.list(2, true, &[]);
-    let until = Instant::now() + PATIENCE;
-    while gatekeeper.ask(up).status() != 200 {
+    let until = Instant::now() + TIMEOUT;
+    while gatekeeper.exchange(up).status() != 200 {
         assert!(Instant::now() < until);
     }
 }
@@ -55,11 +55,11 @@
 fn starts_with_the_configured_list_while_discovery_is_down() {
     let server = Server::start(ok("served"));
     let discovery = Discovery::start();
-    discovery.speaks.store(0, Ordering::SeqCst);
+    discovery.enabled.store(0, Ordering::SeqCst);
     let gatekeeper = Gatekeeper::start(&config(discovery.addr, &[server.listed("w0", "up")]));
-    let first = gatekeeper.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
+    let first = gatekeeper.exchange("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(first.status(), 200, "start-up waits for discovery");
-    assert_eq!(gatekeeper.ask(&pull().text()).body, "served");
+    assert_eq!(gatekeeper.exchange(&pull().text()).body, "served");
 }
 
 #[test]
@@ -79,22 +79,22 @@
         (400, without("Request-Timeout")),
         (400, without("X-Call-Terms")),
         (400, good.replace("Request-Id:", "Request-Id: twice\r\nRequest-Id:")),
-        (400, Ask { key: None, ..swap() }.text()),
-        (400, Ask { key: Some(""), ..swap() }.text()),
+        (400, RequestSpec { key: None, ..swap() }.text()),
+        (400, RequestSpec { key: Some(""), ..swap() }.text()),
         (400, swap().text().replace("Idempotency-Key:", "Idempotency-Key: twice\r\nIdempotency-Key:")),
-        (400, Ask { class: "fetch", ..pull() }.text()),
-        (400, Ask { tier: "huge", ..pull() }.text()),
-        (400, Ask { head: "GET /push/x".into(), ..pull() }.text()),
-        (400, Ask { head: "POST /pull/x".into(), ..pull() }.text()),
-        (400, Ask { client: "b4d65521".into(), ..pull() }.text()),
-        (400, Ask { client: "ffffffffffffffff".into(), ..pull() }.text()),
-        (400, Ask { timeout: "soon", ..pull() }.text()),
-        (400, Ask { timeout: "-1", ..pull() }.text()),
-        (400, Ask { timeout: "inf", ..pull() }.text()),
-        (400, Ask { terms: "units=NaN,spread=1,first=0".into(), ..pull() }.text()),
-        (400, Ask { terms: "units=1,spread=0,first=0".into(), ..pull() }.text()),
-        (400, Ask { terms: "units=1,spread=1,first=9".into(), ..pull() }.text()),
-        (400, Ask { body: Some("a body".into()), ..pull() }.text()),
+        (400, RequestSpec { class: "fetch", ..pull() }.text()),
+        (400, RequestSpec { tier: "huge", ..pull() }.text()),
+        (400, RequestSpec { head: "GET /push/x".into(), ..pull() }.text()),
+        (400, RequestSpec { head: "POST /pull/x".into(), ..pull() }.text()),
+        (400, RequestSpec { client: "b4d65521".into(), ..pull() }.text()),
+        (400, RequestSpec { client: "ffffffffffffffff".into(), ..pull() }.text()),
+        (400, RequestSpec { timeout: "soon", ..pull() }.text()),
+        (400, RequestSpec { timeout: "-1", ..pull() }.text()),
+        (400, RequestSpec { timeout: "inf", ..pull() }.text()),
+        (400, RequestSpec { terms: "units=NaN,spread=1,first=0".into(), ..pull() }.text()),
+        (400, RequestSpec { terms: "units=1,spread=0,first=0".into(), ..pull() }.text()),
+        (400, RequestSpec { terms: "units=1,spread=1,first=9".into(), ..pull() }.text()),
+        (400, RequestSpec { body: Some("a body".into()), ..pull() }.text()),
         (400, push().text().replace("Content-Length: 5", "Content-Length: 5\r\nTransfer-Encoding: chunked")),
         (400, push().text().replace("Content-Length: 5", "Transfer-Encoding: chunked\r\nContent-Length: 5")),
         (400, push().text().replace("Content-Length: 5", "Content-Length: 5\r\nContent-Length: 4")),
@@ -105,13 +105,13 @@
         let mut client = gatekeeper.connect();
         // The gatekeeper may respond and close before it has read all of a large request.
         client.try_send(&ask);
-        match client.answer() {
+        match client.response() {
             Some(answer) => assert_eq!(answer.status(), status, "{}", &ask[..ask.len().min(400)]),
             None => assert!(ask.len() > 50_000, "no response to {ask}"),
         }
     }
     assert_eq!(server.requests(), 0);
-    assert_eq!(gatekeeper.ask(&good).body, "served");
+    assert_eq!(gatekeeper.exchange(&good).body, "served");
 }
 
 /// Once a request is written in full, a broken connection doesn't show whether the server executed it, so a
@@ -135,7 +135,7 @@
         Reply::Answer("201 Created".into(), "no".into()),
     ] {
         server.set(reply.clone());
-        let answer = gatekeeper.ask(&push().text());
+        let answer = gatekeeper.exchange(&push().text());
         assert!(matches!(answer.status(), 502 | 504), "{reply:?}: {}", answer.first_line);
         assert_eq!(server.requests(), 1, "{reply:?}");
     }
@@ -145,7 +145,7 @@
 fn a_request_that_was_not_started_may_be_rejected() {
     let server = Server::start(Reply::Answer("503 Full\r\nNot-Started: 1".into(), "no".into()));
     let (gatekeeper, _discovery) = start_gatekeeper(&[&server]);
-    let answer = gatekeeper.ask(&push().text());
+    let answer = gatekeeper.exchange(&push().text());
     assert!(matches!(answer.status(), 429 | 503), "{}", answer.first_line);
 }
 
@@ -157,8 +157,8 @@
     let server = Server::start(Reply::RawThenClose(answer.into()));
     let (gatekeeper, _discovery) = start_gatekeeper(&[&server]);
     for _ in 0..20 {
-        assert_eq!(gatekeeper.ask(&push().text()).body, "done");
-        while !matches!(server.next(), Seen::Closed { .. }) {}
+        assert_eq!(gatekeeper.exchange(&push().text()).body, "done");
+        while !matches!(server.next(), ServerEvent::Closed { .. }) {}
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -171,16 +171,16 @@
     let (gatekeeper, discovery) = start_gatekeeper(&[&silent]);
     let mut client = gatekeeper.connect();
     // Quick responses give the gatekeeper a latency estimate to judge the silence by.
-    (0..50).for_each(|_| assert_eq!(client.ask(&pull().text()).body, "quick"));
+    (0..50).for_each(|_| assert_eq!(client.exchange(&pull().text()).body, "quick"));
     silent.rest();
     silent.set(Reply::Silence);
     client.send(&pull().text());
-    let Seen::Request { conn, .. } = silent.next() else { panic!("no request") };
+    let ServerEvent::Request { conn, .. } = silent.next() else { panic!("no request") };
     discovery.list(3, false, &[other.listed("w1", "up")]);
-    while !matches!(silent.next(), Seen::Closed { conn: closed } if closed == conn) {}
-    assert!(client.answer().is_some());
-    let until = Instant::now() + PATIENCE;
-    while client.ask(&pull().text()).body != "other" {
+    while !matches!(silent.next(), ServerEvent::Closed { conn: closed } if closed == conn) {}
+    assert!(client.response().is_some());
+    let until = Instant::now() + TIMEOUT;
+    while client.exchange(&pull().text()).body != "other" {
         assert!(Instant::now() < until);
     }
 }
@@ -192,10 +192,10 @@
     let mut client = gatekeeper.connect();
     // Without the disconnect the attempt would be abandoned after four deadlines, 10 s.
     client.send(&push().text().replace("Request-Timeout: 2.5", "Request-Timeout: 60"));
-    assert!(matches!(server.next(), Seen::Request { .. }));
+    assert!(matches!(server.next(), ServerEvent::Request { .. }));
     let disconnected_at = Instant::now();
     drop(client);
-    assert!(matches!(server.next(), Seen::Closed { .. }));
+    assert!(matches!(server.next(), ServerEvent::Closed { .. }));
     assert!(disconnected_at.elapsed() < Duration::from_secs(8));
 }
 
@@ -204,7 +204,7 @@
 fn a_silent_server_times_out_within_the_clients_deadline() {
     let server = Server::start(Reply::Silence);
     let (gatekeeper, _discovery) = start_gatekeeper(&[&server]);
-    let answer = gatekeeper.ask(&push().text());
+    let answer = gatekeeper.exchange(&push().text());
     assert!(matches!(answer.status(), 502 | 504), "{}", answer.first_line);
     assert_eq!(server.requests(), 1);
 }
@@ -214,14 +214,14 @@
     let (first, second) = (Server::start(ok("first")), Server::start(ok("second")));
     for state in ["draining", "removed", "unheard-of"] {
         let (gatekeeper, discovery) = start_gatekeeper(&[&first]);
-        assert_eq!(gatekeeper.ask(&pull().text()).body, "first");
+        assert_eq!(gatekeeper.exchange(&pull().text()).body, "first");
         discovery.list(3, false, &[first.listed("w0", state), second.listed("w1", "up")]);
-        let until = Instant::now() + PATIENCE;
-        while gatekeeper.ask(&pull().text()).body != "second" {
+        let until = Instant::now() + TIMEOUT;
+        while gatekeeper.exchange(&pull().text()).body != "second" {
             assert!(Instant::now() < until);
         }
         first.rest();
-        (0..20).for_each(|_| assert_eq!(gatekeeper.ask(&pull().text()).body, "second"));
+        (0..20).for_each(|_| assert_eq!(gatekeeper.exchange(&pull().text()).body, "second"));
         assert_eq!(first.requests(), 0, "{state}");
     }
 }
@@ -231,13 +231,13 @@
 fn a_broken_or_silent_watch_is_reopened() {
     let (first, second) = (Server::start(ok("first")), Server::start(ok("second")));
     let (gatekeeper, discovery) = start_gatekeeper(&[&first]);
-    discovery.say("{\"rev\": nonsense".into());
+    discovery.push_line("{\"rev\": nonsense".into());
     discovery.list(4, true, &[second.listed("w1", "up")]);
-    let until = Instant::now() + PATIENCE;
-    while gatekeeper.ask(&pull().text()).body != "second" {
+    let until = Instant::now() + TIMEOUT;
+    while gatekeeper.exchange(&pull().text()).body != "second" {
         assert!(Instant::now() < until);
     }
-    discovery.speaks.store(0, Ordering::SeqCst);
+    discovery.enabled.store(0, Ordering::SeqCst);
     let watches = discovery.watches.load(Ordering::SeqCst);
     while discovery.watches.load(Ordering::SeqCst) == watches {
         assert!(Instant::now() < until, "a silent watch is never closed");
@@ -256,8 +256,8 @@
     discovery.list(4, false, &[second.listed("w1", "removed")]);
     discovery.list(2, true, &[first.listed("w0", "up")]);
     discovery.list(5, false, &[third.listed("w2", "up")]);
-    let until = Instant::now() + PATIENCE;
-    while gatekeeper.ask(&pull().text()).body != "third" {
+    let until = Instant::now() + TIMEOUT;
+    while gatekeeper.exchange(&pull().text()).body != "third" {
         assert!(Instant::now() < until);
     }
     // A server that responded late, as on a busy machine, gets no requests for a second or more.
@@ -265,7 +265,7 @@
     let mut bodies = BTreeSet::new();
     while asked < 40 || bodies.len() < 2 {
         assert!(Instant::now() < until, "{bodies:?}");
-        bodies.insert(gatekeeper.ask(&pull().text()).body);
+        bodies.insert(gatekeeper.exchange(&pull().text()).body);
         asked += 1;
     }
     assert_eq!(bodies, BTreeSet::from(["second".to_owned(), "third".to_owned()]));
@@ -280,9 +280,9 @@
     let confirmed = (0..3).any(|_| {
         let (_gatekeeper, discovery) = start_gatekeeper(&[&server]);
         let watches = discovery.watches.load(Ordering::SeqCst);
-        discovery.speaks.store(0, Ordering::SeqCst);
+        discovery.enabled.store(0, Ordering::SeqCst);
         let begun = Instant::now();
-        while discovery.watches.load(Ordering::SeqCst) == watches && begun.elapsed() < PATIENCE {
+        while discovery.watches.load(Ordering::SeqCst) == watches && begun.elapsed() < TIMEOUT {
             std::thread::sleep(Duration::from_millis(20));
         }
         begun.elapsed() < Duration::from_millis(3_900)
@@ -313,8 +313,9 @@
         let gatekeeper = Gatekeeper::ready(&config);
         // More than the share of an unknown customer, so that the counter is asked.
         let terms = || "units=15,spread=2,first=0".to_owned();
-        let ask = |n: u32| Ask { tier: "small", client: format!("{n:016x}"), terms: terms(), ..pull() };
-        let (first, second) = (gatekeeper.ask(&ask(1).text()), gatekeeper.ask(&ask(2).text()));
+        let ask =
+            |n: u32| RequestSpec { tier: "small", client: format!("{n:016x}"), terms: terms(), ..pull() };
+        let (first, second) = (gatekeeper.exchange(&ask(1).text()), gatekeeper.exchange(&ask(2).text()));
         (first.status(), second.status()) == (429, 200)
     });
     assert!(confirmed, "a customer was limited by another one's total");
@@ -336,10 +337,10 @@
     config["counter"] = counter.addr.to_string().into();
     config["settings"]["familyInfo"]["mayCount"] = true.into();
     let gatekeeper = Gatekeeper::ready(&config);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     let mut last = 0;
     while last < 2 {
-        assert_eq!(gatekeeper.ask(&pull().text()).status(), 200);
+        assert_eq!(gatekeeper.exchange(&pull().text()).status(), 200);
         assert!(Instant::now() < until, "no new connection to the counter");
         last = counter.calls.try_iter().map(|(conn, _)| conn).max().unwrap_or(last).max(last);
         std::thread::sleep(Duration::from_millis(5));
@@ -357,10 +358,10 @@
     config["counter"] = counter.addr.to_string().into();
     config["settings"]["familyInfo"]["mayCount"] = true.into();
     let gatekeeper = Gatekeeper::ready(&config);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     let (mut conns, mut first) = (Vec::new(), None);
     while conns.last().is_none_or(|conn| *conn == 0) {
-        assert_eq!(gatekeeper.ask(&pull().text()).status(), 200);
+        assert_eq!(gatekeeper.exchange(&pull().text()).status(), 200);
         assert!(Instant::now() < until, "no new connection to the counter");
         conns.extend(counter.calls.try_iter().map(|(conn, _)| conn));
         first = first.or((!conns.is_empty()).then(Instant::now));
@@ -393,13 +394,13 @@
     let server = Server::start(Reply::Silence);
     let (mut gatekeeper, _discovery) = start_gatekeeper(&[&server]);
     let (mut busy, mut idle) = (gatekeeper.connect(), gatekeeper.connect());
-    assert_eq!(idle.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+    assert_eq!(idle.exchange("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
     busy.send(&push().text());
-    assert!(matches!(server.next(), Seen::Request { .. }));
+    assert!(matches!(server.next(), ServerEvent::Request { .. }));
     gatekeeper.terminate();
     // The idle connection is closed at once; the request in flight gets a response.
-    assert!(idle.answer().is_none());
-    assert!(busy.answer().is_some_and(|answer| matches!(answer.status(), 502 | 504)));
+    assert!(idle.response().is_none());
+    assert!(busy.response().is_some_and(|answer| matches!(answer.status(), 502 | 504)));
     assert_eq!(gatekeeper.exit_code(), Some(0));
 }
 
@@ -411,12 +412,12 @@
     let confirmed = (0..5).any(|_| {
         let (mut gatekeeper, _discovery) = start_gatekeeper(&[&server]);
         let (mut unused, mut idle) = (gatekeeper.connect(), gatekeeper.connect());
-        assert_eq!(idle.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+        assert_eq!(idle.exchange("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
         gatekeeper.terminate();
-        assert!(idle.answer().is_none());
+        assert!(idle.response().is_none());
         let served = |client: &mut Client| {
             client.try_send(&pull().text());
-            client.answer().is_some_and(|answer| {
+            client.response().is_some_and(|answer| {
                 (answer.body.as_str(), answer.header("connection")) == ("served", Some("close"))
             })
         };
@@ -439,7 +440,7 @@
     let mut kept = Vec::new();
     for _ in 0..100 {
         let mut client = gatekeeper.connect();
-        assert_eq!(client.ask(&pull().text()).body, "served");
+        assert_eq!(client.exchange(&pull().text()).body, "served");
         kept.push(client);
     }
 }
@@ -484,7 +485,7 @@
     let mut clients: Vec<Client> = (0..60).map(|_| gatekeeper.connect()).collect();
     clients.iter_mut().for_each(|client| client.send(&pull().text()));
     for client in &mut clients {
-        assert!(client.answer().is_some());
+        assert!(client.response().is_some());
     }
 }
 
@@ -502,15 +503,15 @@
     config["settings"]["familyInfo"]["mayCount"] = true.into();
     let gatekeeper = Gatekeeper::ready(&config);
     gatekeeper.reload("{");
-    assert_eq!(gatekeeper.ask(&pull().text()).body, "first");
+    assert_eq!(gatekeeper.exchange(&pull().text()).body, "first");
     config["discovery"] = new.addr.to_string().into();
     config["counter"] = after.addr.to_string().into();
     gatekeeper.reload(&config.to_string());
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     let mut called = false;
-    while !(called && gatekeeper.ask(&pull().text()).body == "second") {
+    while !(called && gatekeeper.exchange(&pull().text()).body == "second") {
         assert!(Instant::now() < until, "still at the old addresses");
-        assert_eq!(gatekeeper.ask(&pull().text()).status(), 200);
+        assert_eq!(gatekeeper.exchange(&pull().text()).status(), 200);
         called |= after.calls.try_iter().count() > 0;
     }
 }
@@ -527,8 +528,8 @@
     for (part, mut client) in clients {
         // The client's read timeout would end the read with an error, as a close does.
         let begun = Instant::now();
-        let status = client.answer().map(|answer| answer.status());
-        assert!(begun.elapsed() < PATIENCE / 2, "{part:?} is left open");
+        let status = client.response().map(|answer| answer.status());
+        assert!(begun.elapsed() < TIMEOUT / 2, "{part:?} is left open");
         assert!(matches!(status, None | Some(408)), "{part:?}: {status:?}");
     }
     assert_eq!(server.requests(), 0);
@@ -548,7 +549,7 @@
     let confirmed = (0..3).any(|_| {
         let begun = Instant::now();
         let _silent: Vec<Client> = (0..60).map(|_| gatekeeper.connect()).collect();
-        assert_eq!(gatekeeper.ask(&pull().text()).body, "served");
+        assert_eq!(gatekeeper.exchange(&pull().text()).body, "served");
         begun.elapsed() < Duration::from_secs(2)
     });
     assert!(confirmed, "silent connections keep clients out");
@@ -574,7 +575,7 @@
         let mut served = 0;
         for (client, text) in &mut slow {
             client.try_send(&text[20..]);
-            served += usize::from(client.answer().is_some_and(|answer| answer.status() == 200));
+            served += usize::from(client.response().is_some_and(|answer| answer.status() == 200));
         }
         let in_time = begun.elapsed() < Duration::from_millis(1_900);
         assert!(!in_time || served == slow.len(), "{served} served");
@@ -589,11 +590,11 @@
     let server = Server::start(ok("served"));
     let (gatekeeper, _discovery) = start_gatekeeper(&[&server]);
     let mut client = gatekeeper.connect();
-    assert_eq!(client.ask(&pull().text()).body, "served");
+    assert_eq!(client.exchange(&pull().text()).body, "served");
     client.try_send("GET /pull");
     let begun = Instant::now();
-    assert!(client.answer().is_none());
-    assert!(begun.elapsed() < PATIENCE / 2, "left open");
+    assert!(client.response().is_none());
+    assert!(begun.elapsed() < TIMEOUT / 2, "left open");
 }
 
 /// A request over quota is rejected at once with a Retry-After header.
@@ -602,8 +603,8 @@
     let server = Server::start(ok("served"));
     let (gatekeeper, _discovery) = start_gatekeeper(&[&server]);
     let mut client = gatekeeper.connect();
-    let ask = || Ask { tier: "small", terms: "units=6,spread=1,first=0".into(), ..pull() };
-    let refused = (0..10).map(|_| client.ask(&ask().text())).find(|answer| answer.status() == 429);
+    let ask = || RequestSpec { tier: "small", terms: "units=6,spread=1,first=0".into(), ..pull() };
+    let refused = (0..10).map(|_| client.exchange(&ask().text())).find(|answer| answer.status() == 429);
     let refused = refused.expect("ten requests of 6 units fit into 20");
     let wait: f64 = refused.header("retry-after").expect("no Retry-After header").parse().unwrap();
     assert!(wait > 0.0 && wait <= 0.5, "{wait}");
@@ -631,12 +632,12 @@
     config["settings"]["services"][1]["giveUpUs"] = 15_000_000.into();
     let gatekeeper = Gatekeeper::ready(&config);
     let mut client = gatekeeper.connect();
-    client.send(&Ask { timeout: "15", ..push() }.text());
+    client.send(&RequestSpec { timeout: "15", ..push() }.text());
     // Long enough for the attempt to have started; if not, the test checks less but still passes.
     std::thread::sleep(Duration::from_millis(200));
     hung["state"] = "draining".into();
     discovery.list(3, false, &[hung, other.listed("w1", "up")]);
-    assert_eq!(client.answer().map(|answer| answer.body).as_deref(), Some("other"));
+    assert_eq!(client.response().map(|answer| answer.body).as_deref(), Some("other"));
 }
 
 /// The cost that a response reports replaces the estimate; a malformed cost is ignored.
@@ -648,9 +649,9 @@
         let server = Server::start(Reply::Answer(format!("200 OK\r\nX-Cost-Units: {cost}"), "served".into()));
         let (gatekeeper, _discovery) = start_gatekeeper(&[&server]);
         let mut client = gatekeeper.connect();
-        let ask = || Ask { tier: "small", ..pull() };
+        let ask = || RequestSpec { tier: "small", ..pull() };
         // A token bucket of 20 that refills by one a second, at an estimate of one per request.
-        let served = (0..15).filter(|_| client.ask(&ask().text()).status() == 200).count();
+        let served = (0..15).filter(|_| client.exchange(&ask().text()).status() == 200).count();
         assert_eq!(served < 15, counts, "{cost}: {served} served");
     }
 }
@@ -661,9 +662,9 @@
     let server = Server::start(ok("served"));
     let (gatekeeper, discovery) = start_gatekeeper(&[&server]);
     let conn = || {
-        assert_eq!(gatekeeper.ask(&pull().text()).body, "served");
+        assert_eq!(gatekeeper.exchange(&pull().text()).body, "served");
         loop {
-            if let Seen::Request { conn, .. } = server.next() {
+            if let ServerEvent::Request { conn, .. } = server.next() {
                 return conn;
             }
         }
@@ -674,7 +675,7 @@
     // Long enough ago to be warm.
     listed["boot_ms"] = 1_000.into();
     discovery.list(3, false, &[listed]);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while conn() == first {
         assert!(Instant::now() < until, "the old connection is still in use");
         std::thread::sleep(Duration::from_millis(20));
